--- a/internal/core/residency/residency.go
+++ b/internal/core/residency/residency.go
@@ -1,6 +1,7 @@
 // Package residency decides in which regions a request may be handled. The
-// decision is one pure function, asked by the host that chooses, by the host
-// that sends and by the host that receives, each on its own configuration.
+// decision is a pure function of the configuration. The entry host that routes
+// a request, the one that forwards it and the one that receives it each
+// evaluate it on their own installed configuration.
 package residency
 
 import (
@@ -10,16 +11,17 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Query names a request's properties that matter to residency.
+// Query holds the properties of a request that residency rules depend on.
 type Query struct {
 	Team    string
-	Kind    string // empty for the team's own kind
+	Kind    string // empty for the team's configured kind
 	Target  string // model or service name
-	Service bool   // Target is a service
+	Service bool   // Target names a service rather than a model
 }
 
 // Permitted returns the regions in which the request may be handled, sorted.
-// An unknown team, kind or target permits none and gives a typed failure.
+// For an unknown team, kind or target, and when no region is permitted, it
+// returns no regions and a typed failure.
 func Permitted(r *configstate.Record, q Query) ([]string, error) {
 	team, ok := r.Team(q.Team)
 	if !ok {
@@ -29,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rule, err := ruleOf(r, team, q.Kind)
+	rule, err := residencyRule(r, team, q.Kind)
 	if err != nil {
 		return nil, err
 	}
@@ -38,13 +40,13 @@
 		if rule.HomeOnly && region != team.Home {
 			continue
 		}
-		if allows(rule.Regions, region) && allows(target, region) {
+		if emptyOrContains(rule.Regions, region) && emptyOrContains(target, region) {
 			permitted = append(permitted, region)
 		}
 	}
 	if len(permitted) == 0 {
 		return nil, failure.New(failure.Residency, failure.NotRun,
-			"requests of kind %q of team %q may go nowhere for %q", rule.Kind, team.Name, q.Target)
+			"requests of kind %q of team %q are not permitted in any region for target %q", rule.Kind, team.Name, q.Target)
 	}
 	return permitted, nil
 }
@@ -58,21 +60,22 @@
 func targetRegions(r *configstate.Record, team configstate.Team, q Query) ([]string, error) {
 	if q.Service {
 		s, ok := r.Service(q.Target)
-		if !ok || !allows(team.Services, q.Target) {
+		if !ok || !emptyOrContains(team.Services, q.Target) {
 			return nil, failure.New(failure.UnknownService, failure.NotRun, "service %q is not available to team %q", q.Target, team.Name)
 		}
 		return s.Regions, nil
 	}
 	m, ok := r.Model(q.Target)
-	if !ok || !allows(team.Models, q.Target) {
+	if !ok || !emptyOrContains(team.Models, q.Target) {
 		return nil, failure.New(failure.UnknownModel, failure.NotRun, "model %q is not available to team %q", q.Target, team.Name)
 	}
 	return m.Regions, nil
 }
 
-// ruleOf returns the rule of the kind. Without any rules, every request stays
-// at its team's home.
-func ruleOf(r *configstate.Record, team configstate.Team, kind string) (configstate.ResidencyRule, error) {
+// residencyRule returns the rule for the kind; an empty kind selects the team's
+// configured kind. Without any rules in the record, requests of the default kind
+// are restricted to the team's home region.
+func residencyRule(r *configstate.Record, team configstate.Team, kind string) (configstate.ResidencyRule, error) {
 	if kind == "" {
 		kind = team.Kind
 	}
@@ -86,6 +89,7 @@
 	return rule, nil
 }
 
-func allows(list []string, name string) bool {
+// emptyOrContains reports whether the list admits the name; an empty list admits all.
+func emptyOrContains(list []string, name string) bool {
 	return len(list) == 0 || slices.Contains(list, name)
 }
--- a/internal/core/residency/residency_test.go
+++ b/internal/core/residency/residency_test.go
@@ -11,6 +11,7 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
+// regionsGen draws a subset of n regions.
 func regionsGen(n int) *rapid.Generator[[]string] {
 	return rapid.Custom(func(t *rapid.T) []string {
 		var out []string
@@ -23,8 +24,9 @@
 	})
 }
 
-// TestPermittedIsTheIntersection draws rules and topologies: a region is
-// permitted exactly when every rule that applies allows it.
+// TestPermittedIsTheIntersection checks, for random rules and regions, that a
+// region is permitted exactly when the residency rule and the target's regions
+// both allow it.
 func TestPermittedIsTheIntersection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "regions")
@@ -49,7 +51,7 @@
 		}
 		got, err := Permitted(r, q)
 		if (len(got) == 0) != (err != nil) {
-			t.Fatalf("%v with error %v", got, err)
+			t.Fatalf("Permitted returned regions %v with error %v", got, err)
 		}
 		rule := r.Residency[0]
 		for _, reg := range r.Regions {
@@ -57,7 +59,7 @@
 				(len(target) == 0 || slices.Contains(target, reg.Name)) &&
 				(!rule.HomeOnly || reg.Name == r.Teams[0].Home)
 			if slices.Contains(got, reg.Name) != want || Allowed(r, q, reg.Name) != want {
-				t.Fatalf("%s permitted %v, want %v", reg.Name, !want, want)
+				t.Fatalf("region %s permitted: %v, want %v", reg.Name, !want, want)
 			}
 		}
 	})
@@ -87,7 +89,8 @@
 	}
 }
 
-// TestNoRulesMeanHome checks that a record without rules keeps requests at home.
+// TestNoRulesMeanHome checks that a record without residency rules restricts
+// requests to the team's home region.
 func TestNoRulesMeanHome(t *testing.T) {
 	r := &configstate.Record{
 		Regions: []configstate.Region{{Name: "a"}, {Name: "b"}},
@@ -95,6 +98,6 @@
 		Models:  []configstate.Model{{Name: "m"}},
 	}
 	if got, err := Permitted(r, Query{Team: "t", Target: "m"}); err != nil || !slices.Equal(got, []string{"b"}) {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("permitted regions %v, error %v; want [b]", got, err)
 	}
 }
