--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,6 +1,7 @@
-// Package routing chooses where a request goes: one backend server of the
-// host's own failure domain, or an entry host of another failure domain. It is a
-// pure function of what the host knows, which is stale and partial.
+// Package routing chooses the target of a request: a backend server in the entry
+// host's own failure domain, or an entry host in another failure domain. The
+// choice is a pure function of the host's local view of load, which may be stale
+// and incomplete.
 package routing
 
 import (
@@ -12,42 +13,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Query is the request as far as routing needs it.
+// Query holds the properties of a request that routing depends on.
 type Query struct {
 	Prefixes     []uint64 // chain of prefix hashes, shortest first
 	PromptTokens float64
-	Away         bool // the request was forwarded: only own servers may take it
-	// Suspicion is the chance that the request ends the server that runs it.
+	Away         bool // forwarded by another entry host: only local servers are eligible
+	// Suspicion is the probability (0 to 1) that the request crashes the server that runs it.
 	Suspicion float64
 }
 
-// Server is a usable backend server of the own failure domain.
+// Server is a usable backend server in the entry host's own failure domain.
 type Server struct {
 	ID          string
-	Slots       float64 // after slow start
-	Outstanding float64 // estimated requests there now
-	ServiceMS   float64 // mean time a request holds a slot
+	Slots       float64 // as limited by slow start
+	Outstanding float64 // estimated number of running and queued requests
+	ServiceMS   float64 // mean time a request holds a slot, in ms
 	PrefillRate float64 // prompt tokens per second
-	Cached      float64 // share of the prefixes held (0 to 1)
+	Cached      float64 // fraction of the request's prefixes that are cached (0 to 1)
 }
 
-// Remote is the summary of another failure domain.
+// Remote describes another failure domain by its last load summary.
 type Remote struct {
 	FailureDomain string
 	Region        string
 	OtherRegion   bool
 	Slots         float64
 	Outstanding   float64
-	ServiceMS     float64
-	WaitMS        float64 // its own estimate for a cold prompt
-	Age           time.Duration
-	NetworkMS     float64 // one-way latency
-	Sent          float64 // own forwards under way there beyond those at the summary
-	Senders       float64 // entry hosts that may send there
-	Sticky        bool    // requests were sent there lately
+	ServiceMS     float64       // mean time a request holds a slot, in ms
+	WaitMS        float64       // estimated time to first token there for an uncached prompt, in ms
+	Age           time.Duration // age of the summary
+	NetworkMS     float64       // one-way latency, in ms
+	Sent          float64       // this host's forwards in flight there in excess of those at the time of the summary
+	Senders       float64       // number of entry hosts that may forward there
+	Sticky        bool          // this host forwarded requests there recently
 }
 
-// Weights are the configured weights; see configstate.Policy.
+// Weights are the configured routing weights; configstate.Policy documents them.
 type Weights struct {
 	PriceMS      float64
 	Margin       float64
@@ -56,56 +57,57 @@
 	QueuePerSlot float64
 }
 
-// Kind is the kind of a decision.
+// Kind is the type of target that a decision selects.
 type Kind int
 
-// Decisions.
+// Kinds of decisions.
 const (
-	Nowhere Kind = iota // nothing can take the request now
-	Local
-	Forward
+	Nowhere Kind = iota // no target can accept the request now
+	Local               // a backend server in the own failure domain
+	Forward             // an entry host in another failure domain
 )
 
-// Decision is the choice with its reasons.
+// Decision is the selected target with the candidates it was chosen from.
 type Decision struct {
 	Kind       Kind
-	Server     string // with Local
-	Domain     string // with Forward
-	Away       bool   // with Forward: to another region
-	EstimateMS float64
-	HomeMS     float64 // best local estimate; infinite when there is none
+	Server     string  // with Local
+	Domain     string  // with Forward
+	Away       bool    // with Forward: to another region
+	EstimateMS float64 // estimate for the selected target, in ms
+	HomeMS     float64 // lowest-cost local server's estimate, in ms; infinite when there is none
 	Considered []Considered
 }
 
-// Considered is one possibility and what became of it.
+// Considered is one candidate with its estimate and the reason it was chosen or rejected.
 type Considered struct {
 	Name       string  `json:"name"`
 	EstimateMS float64 `json:"estimate_ms"`
-	Reason     string  `json:"reason"` // "chosen" or why it was passed over
+	Reason     string  `json:"reason"` // "chosen" or why the candidate was rejected
 }
 
-// loadBound is the factor over the mean load up to which the server that a
-// prefix hashes to is preferred (Mirrokni, Thorup and Zadimoghaddam,
+// loadBoundFactor bounds the load, relative to the mean over all slots, up to which
+// a server is eligible as a prefix's rendezvous server (Mirrokni, Thorup and Zadimoghaddam,
 // "Consistent Hashing with Bounded Loads", SODA 2018).
-const loadBound = 1.25
+const loadBoundFactor = 1.25
 
 // Estimate returns the expected time to first token at a server, in ms.
 func Estimate(q Query, s Server, cacheWeight float64) float64 {
 	return queueMS(s) + prefillMS(q.PromptTokens*(1-min(1, s.Cached*cacheWeight)), s.PrefillRate)
 }
 
-// queueMS is the time until a slot is free.
+// queueMS returns the expected time in ms until the server has a free slot.
 func queueMS(s Server) float64 {
 	if s.Slots <= 0 {
 		return math.Inf(1)
 	}
-	ahead := s.Outstanding + 1 - s.Slots
-	if ahead <= 0 {
+	queued := s.Outstanding + 1 - s.Slots
+	if queued <= 0 {
 		return 0
 	}
-	return ahead / s.Slots * s.ServiceMS
+	return queued / s.Slots * s.ServiceMS
 }
 
+// prefillMS returns the prefill time of a prompt in ms; 0 when the rate is unknown.
 func prefillMS(tokens, rate float64) float64 {
 	if rate <= 0 {
 		return 0
@@ -113,13 +115,14 @@
 	return tokens / rate * 1000
 }
 
-// Full reports whether the server's queue is at its bound.
+// Full reports whether the server's running and queued requests have reached its
+// slots plus the permitted queue.
 func Full(s Server, w Weights) bool {
 	return s.Outstanding >= s.Slots*(1+w.QueuePerSlot)
 }
 
-// Choose decides. awayShare is the share of recent requests that went to other
-// regions; random returns numbers in [0, 1).
+// Choose selects a target for the request. awayShare is the fraction of recent
+// requests that were sent to other regions; random returns numbers in [0, 1).
 func Choose(q Query, servers []Server, remotes []Remote, w Weights, awayShare float64, random func() float64) Decision {
 	d := Decision{HomeMS: math.Inf(1)}
 	best := chooseLocal(q, servers, w, random, &d)
@@ -134,8 +137,8 @@
 	return d
 }
 
-// chooseLocal compares the server that the prefix hashes to with the best of
-// two random ones and the one with the longest cached prefix.
+// chooseLocal returns the candidate with the lowest expected cost, or nil when
+// every server's queue is full.
 func chooseLocal(q Query, servers []Server, w Weights, random func() float64, d *Decision) *Server {
 	var open []Server
 	for _, s := range servers {
@@ -148,13 +151,13 @@
 	if len(open) == 0 {
 		return nil
 	}
-	candidates := candidates(q, open, random)
+	candidates := localCandidates(q, open, random)
 	if q.Suspicion > 0 {
-		candidates = all(open) // the emptiest of all, for what its end would cost
+		candidates = allIndexes(open) // compare all, to limit the work that a crash would lose
 	}
 	best := -1
 	for _, i := range candidates {
-		if best < 0 || placeCost(q, open[i], w.CacheWeight) < placeCost(q, open[best], w.CacheWeight) {
+		if best < 0 || expectedCostMS(q, open[i], w.CacheWeight) < expectedCostMS(q, open[best], w.CacheWeight) {
 			best = i
 		}
 	}
@@ -168,13 +171,15 @@
 	return &open[best]
 }
 
-// placeCost is the time to first token at a server with what the server's end would cost: the
-// work of the others there.
-func placeCost(q Query, s Server, cacheWeight float64) float64 {
+// expectedCostMS returns the estimated time to first token at a server plus the
+// expected cost of crashing it: the service time of its outstanding requests,
+// weighted by the request's suspicion.
+func expectedCostMS(q Query, s Server, cacheWeight float64) float64 {
 	return Estimate(q, s, cacheWeight) + q.Suspicion*s.Outstanding*s.ServiceMS
 }
 
-func all(open []Server) []int {
+// allIndexes returns the index of each server.
+func allIndexes(open []Server) []int {
 	out := make([]int, len(open))
 	for i := range out {
 		out[i] = i
@@ -182,7 +187,10 @@
 	return out
 }
 
-func candidates(q Query, open []Server, random func() float64) []int {
+// localCandidates returns the indexes of the servers to compare: two random ones
+// and, for a request with prefixes, the prefix's rendezvous server and the server
+// with the longest cached prefix.
+func localCandidates(q Query, open []Server, random func() float64) []int {
 	seen := map[int]bool{}
 	var out []int
 	add := func(i int) {
@@ -192,8 +200,8 @@
 		}
 	}
 	if len(q.Prefixes) > 0 {
-		add(affine(q.Prefixes[0], open))
-		add(warmest(open))
+		add(rendezvousServer(q.Prefixes[0], open))
+		add(longestCachedPrefix(open))
 	}
 	for range 2 {
 		add(int(random() * float64(len(open))))
@@ -201,9 +209,9 @@
 	return out
 }
 
-// affine returns the first server in the prefix's rendezvous order whose load
-// is within the bound.
-func affine(prefix uint64, open []Server) int {
+// rendezvousServer returns the first server in the prefix's rendezvous order whose
+// load is below the bound, or the first of the order when none is.
+func rendezvousServer(prefix uint64, open []Server) int {
 	load, slots := 1.0, 0.0
 	for _, s := range open {
 		load += s.Outstanding
@@ -218,15 +226,16 @@
 	}
 	sort.Slice(order, func(a, b int) bool { return rank(order[a]) > rank(order[b]) })
 	for _, i := range order {
-		if slots > 0 && open[i].Outstanding < loadBound*load*open[i].Slots/slots {
+		if slots > 0 && open[i].Outstanding < loadBoundFactor*load*open[i].Slots/slots {
 			return i
 		}
 	}
 	return order[0]
 }
 
-// warmest returns the server with the longest cached prefix, or -1.
-func warmest(open []Server) int {
+// longestCachedPrefix returns the index of the server with the longest cached
+// prefix, or -1 when no server has any of it cached.
+func longestCachedPrefix(open []Server) int {
 	best := -1
 	for i, s := range open {
 		if s.Cached > 0 && (best < 0 || s.Cached > open[best].Cached) {
@@ -236,21 +245,22 @@
 	return best
 }
 
-// staleLimit is the age from which a summary is not used any more.
-const staleLimit = 15 * time.Second
+// maxSummaryAge is the age above which a summary is not used.
+const maxSummaryAge = 15 * time.Second
 
-// hysteresis scales the margin for a target that was used lately, so that
-// requests do not swing back and forth.
-const hysteresis = 0.5
+// stickyMarginFactor scales the margin for a recently used target. The hysteresis
+// keeps requests from oscillating between failure domains.
+const stickyMarginFactor = 0.5
 
-// chooseRemote replaces the local choice when another failure domain beats it.
+// chooseRemote replaces the local choice by the failure domain with the lowest
+// estimate among those that remoteRejection accepts.
 func chooseRemote(q Query, remotes []Remote, w Weights, awayShare float64, d *Decision) {
 	best := -1
 	estimates := make([]float64, len(remotes))
 	reasons := make([]string, len(remotes))
 	for i, r := range remotes {
-		estimates[i] = remoteEstimate(r, w)
-		reasons[i] = rejectRemote(r, w, awayShare, estimates[i], d)
+		estimates[i] = remoteEstimateMS(r, w)
+		reasons[i] = remoteRejection(r, w, awayShare, estimates[i], d)
 		if reasons[i] == "" && (best < 0 || estimates[i] < estimates[best]) {
 			best = i
 		}
@@ -268,12 +278,13 @@
 	if best < 0 {
 		return
 	}
-	markPassedOver(d)
+	markLocalRejected(d)
 	d.Kind, d.Domain, d.Server = Forward, remotes[best].FailureDomain, ""
 	d.Away, d.EstimateMS = remotes[best].OtherRegion, estimates[best]
 }
 
-func markPassedOver(d *Decision) {
+// markLocalRejected records that the chosen local server lost to another failure domain.
+func markLocalRejected(d *Decision) {
 	for i, c := range d.Considered {
 		if c.Name == d.Server && c.Reason == "chosen" {
 			d.Considered[i].Reason = "another failure domain is quicker"
@@ -281,11 +292,11 @@
 	}
 }
 
-// remoteEstimate is the expected time to first token through an entry host of
-// the other failure domain: its own estimate for a cold prompt, corrected by
-// what was sent since, both ways over the network, and the price of sending
-// away. A stale summary is taken to be worse by its age.
-func remoteEstimate(r Remote, w Weights) float64 {
+// remoteEstimateMS returns the cost of forwarding to another failure domain, in ms:
+// the time to first token there for an uncached prompt, corrected for forwards since
+// its summary, plus the network round trip and, for another region, the configured
+// price. The estimate grows with the summary's age.
+func remoteEstimateMS(r Remote, w Weights) float64 {
 	e := r.WaitMS + 2*r.NetworkMS
 	if r.Slots > 0 {
 		over := r.Outstanding + r.Sent*max(1, r.Senders/2) - r.Slots
@@ -294,25 +305,26 @@
 	if r.OtherRegion {
 		e += w.PriceMS
 	}
-	return e + float64(r.Age.Milliseconds())*stalenessWeight
+	return e + float64(r.Age.Milliseconds())*stalenessPenalty
 }
 
-// stalenessWeight is the ms added to an estimate for each ms of a summary's age.
-const stalenessWeight = 0.02
+// stalenessPenalty is the ms added to an estimate for each ms of a summary's age.
+const stalenessPenalty = 0.02
 
-// rejectRemote returns why a remote is passed over, or "".
-func rejectRemote(r Remote, w Weights, awayShare, estimate float64, d *Decision) string {
+// remoteRejection returns the reason for rejecting a failure domain, or "" when it
+// is eligible.
+func remoteRejection(r Remote, w Weights, awayShare, estimate float64, d *Decision) string {
 	if r.Slots <= 0 {
 		return "no server"
 	}
-	if r.Age > staleLimit {
+	if r.Age > maxSummaryAge {
 		return "summary too old"
 	}
 	if r.Outstanding+r.Sent >= r.Slots*(1+w.QueuePerSlot) {
 		return "queue full"
 	}
 	if d.Kind != Local {
-		return "" // home cannot take it: ceiling and margin do not apply
+		return "" // no local server is available: ceiling, own share and margin do not apply
 	}
 	if r.OtherRegion && awayShare >= w.Ceiling {
 		return "ceiling of requests sent away"
@@ -322,7 +334,7 @@
 	}
 	margin := w.Margin
 	if r.Sticky {
-		margin *= hysteresis
+		margin *= stickyMarginFactor
 	}
 	if estimate >= d.HomeMS*(1-margin) {
 		return "not better than home by the margin"
