--- a/internal/core/quarantine/bench_test.go
+++ b/internal/core/quarantine/bench_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BenchmarkFingerprint measures what each request pays for being recognised.
+// BenchmarkFingerprint measures the fingerprinting cost of each request by body size.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 800, 12_800} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
@@ -20,7 +20,7 @@
 	}
 }
 
-// BenchmarkServed measures what each answer pays.
+// BenchmarkServed measures the cost of recording an answer.
 func BenchmarkServed(b *testing.B) {
 	t := newTable("h")
 	f := make([]Fingerprint, 4096)
@@ -32,15 +32,15 @@
 	}
 }
 
-// BenchmarkFullTable reports the memory of a table at its default capacity, and the size of one
-// record in a message.
+// BenchmarkFullTable reports the heap bytes per fingerprint of a table at its default capacity,
+// and the encoded size of one record.
 func BenchmarkFullTable(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	t := New(Options{Host: "h"})
 	for n := range DefaultCapacity {
-		t.endedAt(request(n), 1, start)
+		t.crashAt(request(n), 1, start)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/internal/core/quarantine/breaks.go
+++ b/internal/core/quarantine/breaks.go
@@ -7,61 +7,65 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Start names one process of a server: its ID and what tells its starts apart.
+// Start identifies one process of a backend server. Processes that run under the
+// same server ID differ in Born.
 type Start struct {
 	ID   string
 	Born int64
 }
 
-// Key returns the key of the start in evidence.
+// Key returns the hash that identifies the process in evidence and peer messages.
 func (s Start) Key() uint64 { return xxhash.Sum64String(s.ID + "\x00" + strconv.FormatInt(s.Born, 10)) }
 
-// breakKept is how long a break waits for proof that the server ended: a crashed server is
-// replaced within that time or not at all.
-const breakKept = 15 * time.Second
+// proofTimeout is how long a break is tracked. A server that crashed is replaced within that time
+// or not at all, so no proof is expected later.
+const proofTimeout = 15 * time.Second
 
-// Break is a start of a server that ended the connections of requests under way.
+// Break identifies a server process that broke the connections of requests in progress.
 type Break struct {
 	Start   Start
 	Address string
 }
 
-type openBreak struct {
+type trackedBreak struct {
 	Break
-	at       time.Time // of the first request that broke off
-	proved   bool
-	evidence []Evidence
+	at       time.Time  // when the first request's connection broke
+	proved   bool       // the process is proved to have ended
+	evidence []Evidence // recorded until then
 }
 
-// Breaks holds the servers that broke off requests until it is known whether their
-// processes ended. A connection alone proves nothing: it may have been reset, or cut.
-// The proofs are that no process listens at the address any more, and that another start was
-// heard under the ID or at the address. A start that is heard again did not end.
+// Breaks holds the server processes that broke the connections of requests until it is
+// established whether they ended. A broken connection alone proves nothing, as it may have
+// been reset or the network may have failed. There are two proofs: that no process listens at
+// the address, and that another process announced itself under the same ID or at the same
+// address. A process that announces itself again did not end.
 //
-// A wrong proof counts against the requests that were under way, which matters only where
-// three are wrong about the same one; a missing one lets a request end one more server.
+// A false proof counts against the requests that were in progress at the server, which matters
+// only if three are false for the same request. A missing proof lets a request crash one more
+// server before it is quarantined.
 type Breaks struct {
-	open map[Start]*openBreak
-	// aliveAfter is how long after a break a start must be heard to be held alive: earlier
-	// announcements may have been on their way.
+	byStart map[Start]*trackedBreak
+	// aliveAfter is the delay after a break from which an announcement shows that the process
+	// is alive. Earlier ones may have been sent before it ended.
 	aliveAfter time.Duration
 }
 
-// announcementsUnderWay is how many announcements of a server may arrive after its end.
-const announcementsUnderWay = 3
+// maxAnnouncementsInFlight is how many announcements of a server may arrive after its process ended.
+const maxAnnouncementsInFlight = 3
 
-// NewBreaks returns no breaks, of servers that announce themselves at an interval.
+// NewBreaks returns an empty set for servers that announce themselves at the given interval.
 func NewBreaks(announceEvery time.Duration) *Breaks {
-	return &Breaks{open: map[Start]*openBreak{}, aliveAfter: announcementsUnderWay * announceEvery}
+	return &Breaks{byStart: map[Start]*trackedBreak{}, aliveAfter: maxAnnouncementsInFlight * announceEvery}
 }
 
-// Add notes that a server broke off a request. It reports whether the end of the server is
-// proved already, so that the evidence counts at once.
+// Add records that a server broke the connection of a request. It reports whether the server's
+// process is already proved to have ended; the evidence is then not kept, and the caller counts
+// it at once.
 func (b *Breaks) Add(x Break, e Evidence, now time.Time) (proved bool) {
-	o := b.open[x.Start]
+	o := b.byStart[x.Start]
 	if o == nil {
-		o = &openBreak{Break: x, at: now}
-		b.open[x.Start] = o
+		o = &trackedBreak{Break: x, at: now}
+		b.byStart[x.Start] = o
 	}
 	if !o.proved {
 		o.evidence = append(o.evidence, e)
@@ -69,14 +73,15 @@
 	return o.proved
 }
 
-// Len returns the number of servers that wait for proof.
-func (b *Breaks) Len() int { return len(b.open) }
+// Len returns the number of server processes recorded, proved to have ended or not.
+func (b *Breaks) Len() int { return len(b.byStart) }
 
-// Refused takes that no process listens at the server's address. It returns the evidence
-// that is proved by it.
-func (b *Breaks) Refused(s Start) []Evidence { return b.prove(b.open[s]) }
+// Refused records that the server's address refused a connection, so that no process listens
+// there. It returns the evidence that this proves.
+func (b *Breaks) Refused(s Start) []Evidence { return b.prove(b.byStart[s]) }
 
-func (b *Breaks) prove(o *openBreak) []Evidence {
+// prove marks the process as ended and returns its evidence, once.
+func (b *Breaks) prove(o *trackedBreak) []Evidence {
 	if o == nil || o.proved {
 		return nil
 	}
@@ -85,33 +90,33 @@
 	return out
 }
 
-// Sighting is a start of a server as its last announcement shows it.
+// Sighting is a server process as described by its last announcement.
 type Sighting struct {
 	Start   Start
 	Address string
 	HeardAt time.Time
 }
 
-// Heard takes which servers are known now. It returns the evidence that is proved by it, and
-// the keys of starts that were held to have ended and did not.
+// Heard compares the breaks with the last announcements of the servers. It returns the evidence
+// that they prove, and the keys of processes that were proved to have ended but are alive.
 func (b *Breaks) Heard(servers []Sighting, now time.Time) (proved []Evidence, alive []uint64) {
-	if len(b.open) == 0 {
+	if len(b.byStart) == 0 {
 		return nil, nil
 	}
-	for start, o := range b.open {
+	for start, o := range b.byStart {
 		for _, s := range servers {
 			switch {
 			case s.Start == start && s.HeardAt.After(o.at.Add(b.aliveAfter)):
 				if o.proved {
 					alive = append(alive, start.Key())
 				}
-				delete(b.open, start)
+				delete(b.byStart, start)
 			case s.Start.ID == start.ID && s.Start != start, s.Address == o.Address && s.Start.ID != start.ID:
 				proved = append(proved, b.prove(o)...)
 			}
 		}
-		if now.Sub(o.at) > breakKept {
-			delete(b.open, start)
+		if now.Sub(o.at) > proofTimeout {
+			delete(b.byStart, start)
 		}
 	}
 	return proved, alive
--- a/internal/core/quarantine/exchange.go
+++ b/internal/core/quarantine/exchange.go
@@ -8,32 +8,33 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// maxName bounds the names in a record that another host sent.
-const maxName = 128
+// maxNameBytes bounds each name in a record that is sent or received, in bytes.
+const maxNameBytes = 128
 
-// Change is how another host's news changed how a request stands.
+// Change is the effect of a received record on the judgement of a fingerprint.
 type Change struct {
 	Fingerprint            Fingerprint
 	Before, After          Judgement
 	Team, Service, Release string
 }
 
-// Merge takes what another host knows, and returns what it changed here. Of two
-// records of a fingerprint the one that was cleared more often holds; with the same number
-// their ends are put together. What was answered here moments ago is cleared again.
+// Merge merges records received from another host and returns the judgements that changed. Of
+// two records of a fingerprint, the one with the higher cleared count replaces the other; with
+// equal counts their crashes are united. The crashes of a fingerprint that was answered here
+// within answerValidity are cleared again.
 func (t *Table) Merge(records []*pb.QuarantineRecord, now time.Time) []Change {
 	var out []Change
 	for _, m := range records {
-		if len(m.Fingerprint) != fingerprintBytes || len(m.Team) > maxName || len(m.Service) > maxName || len(m.Release) > maxName {
+		if len(m.Fingerprint) != fingerprintBytes || len(m.Team) > maxNameBytes || len(m.Service) > maxNameBytes || len(m.Release) > maxNameBytes {
 			continue
 		}
 		f := Fingerprint(m.Fingerprint)
 		before := t.Judge(f, now)
-		if !t.mergeOne(f, m, now) {
+		if !t.mergeRecord(f, m, now) {
 			continue
 		}
-		if r := t.get(f); r.counted() > 0 && t.served.lately(f, now) {
-			t.clear(r, now) // news of ends is no answer: it does not prolong the objection
+		if r := t.get(f); r.crashCount() > 0 && t.answers.contains(f, now) {
+			t.clear(r, now) // a received crash is no answer, so it does not extend answerValidity
 		}
 		if after := t.Judge(f, now); after.Verdict != before.Verdict || after.Ends != before.Ends {
 			r := t.get(f)
@@ -43,39 +44,40 @@
 	return out
 }
 
-func (t *Table) mergeOne(f Fingerprint, m *pb.QuarantineRecord, now time.Time) (news bool) {
+// mergeRecord merges one received record and reports whether the table changed.
+func (t *Table) mergeRecord(f Fingerprint, m *pb.QuarantineRecord, now time.Time) (changed bool) {
 	r := t.get(f)
-	ends := endsOf(m, now)
+	crashes := decodeCrashes(m, now)
 	if r == nil {
-		if m.Cleared == 0 && len(ends) == 0 {
+		if m.Cleared == 0 && len(crashes) == 0 {
 			return false
 		}
 		r = t.add(f)
-		news = true
+		changed = true
 	}
 	switch {
 	case m.Cleared < r.cleared:
 		return false
 	case m.Cleared > r.cleared:
-		r.cleared, r.ends, news = m.Cleared, nil, true
+		r.cleared, r.crashes, changed = m.Cleared, nil, true
 	}
-	for _, e := range ends {
-		news = r.addEnd(e) || news
+	for _, e := range crashes {
+		changed = r.addCrash(e) || changed
 	}
-	if !news {
+	if !changed {
 		return false
 	}
 	if m.Service != "" {
 		r.team, r.service, r.release = m.Team, m.Service, m.Release
 	}
-	t.change(r, now)
+	t.markChanged(r, now)
 	return true
 }
 
-func endsOf(m *pb.QuarantineRecord, now time.Time) []end {
-	var out []end
+func decodeCrashes(m *pb.QuarantineRecord, now time.Time) []crash {
+	var out []crash
 	for i, server := range m.Server {
-		e := end{server: server, at: now}
+		e := crash{server: server, at: now}
 		if i < len(m.AgeS) {
 			e.at = now.Add(-time.Duration(m.AgeS[i]) * time.Second)
 		}
@@ -85,30 +87,33 @@
 	return out
 }
 
-// Wanted chooses records to tell another host that was told up to a revision.
-type Wanted func(r *record, told uint64) bool
+// Wanted reports whether a record is to be sent to a host that has been sent this table's
+// changes up to sentRevision.
+type Wanted func(r *record, sentRevision uint64) bool
 
-// Own are the records that changed by what this host saw itself, whatever it was told since.
-func Own(r *record, told uint64) bool { return r.own > told }
+// Own selects records that changed by this host's own observations since sentRevision,
+// whether or not received records changed them too.
+func Own(r *record, sentRevision uint64) bool { return r.localRevision > sentRevision }
 
-// All are all records.
+// All selects every record.
 func All(*record, uint64) bool { return true }
 
-// Decisive are the records that an entry host needs of others: with one end alone a request
-// is treated as usual elsewhere.
-func Decisive(r *record, _ uint64) bool { return r.cleared > 0 || r.counted() >= Crashes-1 }
+// Decisive selects the records that other entry hosts need: those that were cleared, and those
+// from one crash below the threshold on. With fewer crashes only the observing host treats the
+// request differently.
+func Decisive(r *record, _ uint64) bool { return r.cleared > 0 || r.crashCount() >= Crashes-1 }
 
-// Since returns records that changed after a revision, the first to change first, and the
-// revision to go on from.
-func (t *Table) Since(revision uint64, most int, wanted Wanted, now time.Time) (out []*pb.QuarantineRecord, next uint64) {
+// Since returns at most limit wanted records that changed after a revision, in the order of their
+// last change, and the revision to continue from.
+func (t *Table) Since(revision uint64, limit int, wanted Wanted, now time.Time) (out []*pb.QuarantineRecord, next uint64) {
 	if revision > t.revision {
-		revision = 0 // of an earlier process
+		revision = 0 // the revision belongs to an earlier process
 	}
 	first := t.order.Back()
-	if first == nil || first.Value.(*record).changed <= revision {
+	if first == nil || first.Value.(*record).revision <= revision {
 		return nil, t.revision
 	}
-	for p := first.Prev(); p != nil && p.Value.(*record).changed > revision; p = p.Prev() {
+	for p := first.Prev(); p != nil && p.Value.(*record).revision > revision; p = p.Prev() {
 		first = p
 	}
 	for e := first; e != nil; e = e.Next() {
@@ -116,25 +121,25 @@
 		if !wanted(r, revision) {
 			continue
 		}
-		if len(out) == most {
-			return out, before(e)
+		if len(out) == limit {
+			return out, revisionBefore(e)
 		}
-		out = append(out, r.message(now))
+		out = append(out, r.encode(now))
 	}
 	return out, t.revision
 }
 
-// before returns a revision just before the record's last change.
-func before(e *list.Element) uint64 { return e.Value.(*record).changed - 1 }
+// revisionBefore returns the revision just before the record's last change.
+func revisionBefore(e *list.Element) uint64 { return e.Value.(*record).revision - 1 }
 
-// message encodes a record. One with a single end bears its names too: three hosts may have
-// seen one end each.
-func (r *record) message(now time.Time) *pb.QuarantineRecord {
+// encode returns the record as a peer message. The names are included even with a single crash,
+// as three hosts may each have observed one and the combined record needs them.
+func (r *record) encode(now time.Time) *pb.QuarantineRecord {
 	m := &pb.QuarantineRecord{
-		Fingerprint: slices.Clone(r.fingerprint[:]), Cleared: r.cleared, Team: cut(r.team), Service: cut(r.service), Release: cut(r.release),
+		Fingerprint: slices.Clone(r.fingerprint[:]), Cleared: r.cleared, Team: truncateName(r.team), Service: truncateName(r.service), Release: truncateName(r.release),
 	}
-	anyAlive := slices.ContainsFunc(r.ends, func(e end) bool { return e.alive })
-	for _, e := range r.ends {
+	anyAlive := slices.ContainsFunc(r.crashes, func(e crash) bool { return e.alive })
+	for _, e := range r.crashes {
 		m.Server = append(m.Server, e.server)
 		m.AgeS = append(m.AgeS, uint32(max(0, now.Sub(e.at)/time.Second)))
 		if anyAlive {
@@ -144,21 +149,22 @@
 	return m
 }
 
-func cut(name string) string { return name[:min(len(name), maxName)] }
+func truncateName(name string) string { return name[:min(len(name), maxNameBytes)] }
 
-// Entry is a fingerprint as operators see it.
+// Entry is a fingerprint's state as reported to operators.
 type Entry struct {
 	Fingerprint            Fingerprint
 	Verdict                Verdict
 	Team, Service, Release string
-	// Crashes is the number of servers that ended, LastCrash when the last one did.
-	Crashes   int
+	// Crashes is the number of crashes counted against the request.
+	Crashes int
+	// LastCrash is when the last of them was observed.
 	LastCrash time.Time
-	Cleared   uint32
+	// Cleared is how often the crashes were cleared.
+	Cleared uint32
 }
 
-// List returns the fingerprints under which more than one server ended, the last to crash
-// one first.
+// List returns the fingerprints with more than one crash, the most recent crash first.
 func (t *Table) List(now time.Time) []Entry {
 	var out []Entry
 	for e := t.order.Front(); e != nil; e = e.Next() {
--- a/internal/core/quarantine/fingerprint_test.go
+++ b/internal/core/quarantine/fingerprint_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFingerprintTellsIdentitiesApart moves bytes between the parts of an identity, which
-// must give another fingerprint.
-func TestFingerprintTellsIdentitiesApart(t *testing.T) {
+// TestFingerprintDistinguishesIdentities changes single parts of an identity and moves bytes
+// between them; each variant must have a different fingerprint.
+func TestFingerprintDistinguishesIdentities(t *testing.T) {
 	base := Identity{Caller: "team-a", Method: "POST", Host: "h", Target: "/chat/1", Body: []byte("hello")}
 	for name, other := range map[string]Identity{
 		"another caller":          {Caller: "team-b", Method: "POST", Host: "h", Target: "/chat/1", Body: []byte("hello")},
@@ -24,21 +24,21 @@
 		}
 	}
 	if base.Fingerprint() != (Identity{Caller: "team-a", Method: "POST", Host: "h", Target: "/chat/1", Body: []byte("hello")}).Fingerprint() {
-		t.Error("a repeat has another fingerprint")
+		t.Error("equal identities have different fingerprints")
 	}
 }
 
-// TestFingerprintText checks that a fingerprint can be read back, and that other text is refused.
+// TestFingerprintText checks that ParseFingerprint inverts String and rejects malformed text.
 func TestFingerprintText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Identity{Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body")}.Fingerprint()
 		if got, err := ParseFingerprint(f.String()); err != nil || got != f {
-			t.Fatalf("%s was read as %s, %v", f, got, err)
+			t.Fatalf("%s was parsed as %s, error %v", f, got, err)
 		}
 	})
 	for _, text := range []string{"", "zz", "0123", "0123456789abcdef0123456789abcdef00"} {
 		if _, err := ParseFingerprint(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("ParseFingerprint accepted %q", text)
 		}
 	}
 }
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -1,14 +1,15 @@
-// Package quarantine recognises requests that crash the servers that run them. Entry hosts
-// note which requests were under way at a server whose process ended, tell each other, and
-// refuse a request under which servers ended one after the other. It does no I/O and reads
-// no clock.
+// Package quarantine detects requests that crash the backend servers that run them (poison
+// requests, or queries of death). Entry hosts record which requests were in progress at a
+// server whose process ended, exchange these records, and refuse a request that crashed
+// several servers in succession. The package does no I/O and reads no clock.
 //
-// The load that it answers: one caller repeats a request that ends each server that begins
-// to run it, at any entry host and under new request IDs, faster than servers come back.
+// It protects against a caller that repeats a request which crashes every server that begins
+// to run it, through any entry host and under new request IDs, faster than servers restart.
 //
-// Invariants: a fingerprint is quarantined only while Crashes starts of servers or more are
-// held to have ended under it, with no whole answer to it since; each start counts once; what
-// two tables know does not depend on the order in which, or how often, they were told.
+// Invariants: a fingerprint is quarantined only while at least Crashes server processes are
+// recorded as crashed while running it, with no complete answer to it since; each process
+// counts once; merging records is commutative and idempotent, so the order and number of
+// deliveries do not matter.
 package quarantine
 
 import (
@@ -20,54 +21,55 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Crashes is how many starts of servers must end under a request before it is refused. One
-// or two may end by chance under the same request and its repeats.
+// Crashes is the number of server processes that must crash while running a request before it
+// is refused. One or two may crash for other reasons during a request and its repeats.
 const Crashes = 3
 
-// oneEndSuspicion is the chance that a request is the cause of a server's end: it was one of
-// some thirty there.
-const oneEndSuspicion = 1.0 / 30
+// singleCrashSuspicion is the probability that a request caused the one crash recorded for it:
+// about thirty requests are in progress at a server.
+const singleCrashSuspicion = 1.0 / 30
 
-// Suspicion is how likely a request ends the server that runs it, by the ends before. After
-// two it is all but sure: no other request was at both servers.
+// Suspicion returns the probability that a request crashes the server that runs it, given the
+// number of crashes recorded for it. After two it is taken as certain, since no other request
+// was in progress at both servers.
 func Suspicion(ends int) float64 {
 	switch ends {
 	case 0:
 		return 0
 	case 1:
-		return oneEndSuspicion
+		return singleCrashSuspicion
 	}
 	return 1
 }
 
-// maxEnds is how many ends are kept of a fingerprint: those that quarantine it and one of
-// each trial after that. With so many there is no further trial.
-const maxEnds = Crashes + 3
+// maxCrashes bounds the crashes kept for a fingerprint: those that quarantine it and one for
+// each of three trials. With that many there is no further trial.
+const maxCrashes = Crashes + 3
 
-// Times of what is remembered.
+// Retention times and delays.
 const (
-	// suspectFor is how long fewer ends than Crashes are remembered, and how long it is
-	// remembered that ends were taken back.
-	suspectFor = 10 * time.Minute
-	// quarantinedFor is how long a quarantine is remembered after the last end.
-	quarantinedFor = 24 * time.Hour
-	// objectionTime passes before a verdict holds: the way to all hosts and back. When many
-	// servers end at once a request that many callers send reaches Crashes at some hosts,
-	// while others have just had an answer to it.
-	objectionTime = 1500 * time.Millisecond
-	// trialSpacing is how far apart the turns of two entry hosts are at a trial: long enough
-	// for the first one's outcome to reach the others.
+	// suspectRetention is how long after the last one fewer crashes than Crashes count, and how
+	// long after its last change the record of such a fingerprint, or of a cleared one, is kept.
+	suspectRetention = 10 * time.Minute
+	// quarantineRetention is how long a quarantined fingerprint is kept after its last change.
+	quarantineRetention = 24 * time.Hour
+	// confirmationDelay is the time from reaching Crashes to the quarantine: a round trip to all
+	// hosts. When many servers crash at once, a request that is sent often reaches Crashes on some
+	// hosts while others have just received an answer to it, which clears the crashes.
+	confirmationDelay = 1500 * time.Millisecond
+	// trialSpacing is the mean interval between the trials of different entry hosts: long enough
+	// for the outcome of one to reach the others.
 	trialSpacing = 2 * time.Second
 )
 
 // Options configures a Table.
 type Options struct {
-	// Host names the entry host, for its turn at a trial.
+	// Host is the entry host's name, from which its trial time is derived.
 	Host string
-	// Capacity bounds the fingerprints that are remembered (default DefaultCapacity).
+	// Capacity bounds the number of fingerprints that are kept (default DefaultCapacity).
 	Capacity int
-	// Hold is how long a request is refused after the end that quarantined it. After each
-	// trial that ended another server it is twice as long (default DefaultHold).
+	// Hold is how long a request is refused after the crash that quarantined it. It doubles
+	// with each trial that crashes another server (default DefaultHold).
 	Hold time.Duration
 }
 
@@ -77,16 +79,16 @@
 	DefaultHold     = 10 * time.Minute
 )
 
-// Verdict is how a request is treated.
+// Verdict states how a request is treated.
 type Verdict int
 
 // Verdicts.
 const (
-	Clear       Verdict = iota
-	Suspect             // servers ended under it: it runs where it can do least harm
-	Trial               // quarantined for long enough: it may run once
-	Busy                // it is a likely cause; it runs already, has just run, or was just found out: not now
-	Quarantined         // refused
+	Clear       Verdict = iota // no crash counts against the request
+	Suspect                    // crashed servers, but fewer than Crashes: routed to where a crash costs least
+	Trial                      // quarantined, and its hold time has passed: may run once
+	Busy                       // not now: an attempt that must run alone is in progress or would be a repeat, or Crashes was reached within confirmationDelay
+	Quarantined                // refused
 )
 
 // String implements fmt.Stringer.
@@ -94,44 +96,45 @@
 	return [...]string{"clear", "suspect", "trial", "busy", "quarantined"}[v]
 }
 
-// Judgement is a verdict with what it rests on.
+// Judgement is a verdict with the evidence it is based on.
 type Judgement struct {
 	Verdict Verdict
-	// Ends is the number of servers that ended under the request.
+	// Ends is the number of server processes that crashed while running the request.
 	Ends int
-	// Last is when the last of them ended.
+	// Last is when the last of these crashes was recorded.
 	Last time.Time
 }
 
-// end is a start of a server that ended while it ran the request.
-type end struct {
+// crash records that a server process ended while it ran the request.
+type crash struct {
 	server uint64
 	at     time.Time
-	// alive is set when the start was heard later: it did not end.
+	// alive is set when the process announced itself later, so that it did not end.
 	alive bool
 }
 
 type record struct {
 	fingerprint            Fingerprint
-	cleared                uint32
-	ends                   []end // sorted by server
+	cleared                uint32  // how often the crashes were cleared
+	crashes                []crash // sorted by server
 	team, service, release string
 
-	changed    uint64 // revision of the last change
-	own        uint64 // revision of the last change by what was seen here
-	touched    time.Time
-	replacedAt time.Time // when no server of the release that ended was left; zero before
-	running    int       // attempts of this host that run beside nothing
+	revision      uint64 // revision of the last change
+	localRevision uint64 // revision of the last change by this host's own observations
+	changedAt     time.Time
+	replacedAt    time.Time // since when no server runs the release that crashed; zero while one does
+	running       int       // attempts in progress on this host that must run alone
 }
 
-// Table is what a host knows. It is not safe for concurrent use.
+// Table holds one host's records of requests that crashed servers. It is not safe for
+// concurrent use.
 type Table struct {
 	o        Options
 	records  map[Fingerprint]*list.Element
 	order    *list.List // of *record, by their last change, the newest last
 	revision uint64
 	hosts    int
-	served   served
+	answers  recentAnswers
 }
 
 // New returns an empty table.
@@ -145,13 +148,13 @@
 	return &Table{o: o, records: map[Fingerprint]*list.Element{}, order: list.New(), hosts: 1}
 }
 
-// SetHosts tells how many entry hosts there are; it spreads their turns at a trial.
+// SetHosts sets the number of entry hosts, over which trials are spread.
 func (t *Table) SetHosts(n int) { t.hosts = max(1, n) }
 
-// Revision is raised by each change.
+// Revision returns the revision of the table's last change.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Len returns the number of fingerprints that are remembered.
+// Len returns the number of fingerprints in the table.
 func (t *Table) Len() int { return len(t.records) }
 
 func (t *Table) get(f Fingerprint) *record {
@@ -161,16 +164,16 @@
 	return nil
 }
 
-// Begin returns how an attempt of the request is to be treated. Every Begin is followed by
-// one Finish with its verdict. again says that the request has been at a server before: the
-// end that would quarantine it is not brought about by the system's own repeats.
+// Begin returns how an attempt of the request is to be treated. The caller must call Finish
+// once with the returned judgement. again states that the request has been sent to a server
+// before: a retry by the system itself must not cause the crash that quarantines the request.
 func (t *Table) Begin(f Fingerprint, again bool, now time.Time) Judgement {
 	r := t.get(f)
 	if r == nil {
 		return Judgement{}
 	}
 	j := t.judge(r, now)
-	if r.alone(j.Verdict) {
+	if r.mustRunAlone(j.Verdict) {
 		if r.running > 0 || again {
 			j.Verdict = Busy
 			return j
@@ -180,19 +183,20 @@
 	return j
 }
 
-// Finish records that an attempt has ended.
+// Finish records that the attempt with the judgement that Begin returned has ended.
 func (t *Table) Finish(f Fingerprint, j Judgement) {
 	if r := t.get(f); r != nil && r.running > 0 && (j.Verdict == Trial || j.Ends == Crashes-1) && j.Verdict != Busy {
 		r.running--
 	}
 }
 
-// alone reports whether the request must not run beside itself: one more end quarantines it.
-func (r *record) alone(v Verdict) bool {
-	return v == Trial || (v == Suspect && r.counted() == Crashes-1)
+// mustRunAlone reports whether the request may have only one attempt in progress on this host,
+// because one more crash would quarantine it or prolong its quarantine.
+func (r *record) mustRunAlone(v Verdict) bool {
+	return v == Trial || (v == Suspect && r.crashCount() == Crashes-1)
 }
 
-// Judge returns how the request stands, without an attempt.
+// Judge returns the request's current judgement without starting an attempt.
 func (t *Table) Judge(f Fingerprint, now time.Time) Judgement {
 	if r := t.get(f); r != nil {
 		return t.judge(r, now)
@@ -201,13 +205,13 @@
 }
 
 func (t *Table) judge(r *record, now time.Time) Judgement {
-	j := Judgement{Ends: r.counted(), Last: r.last()}
+	j := Judgement{Ends: r.crashCount(), Last: r.lastCrashAt()}
 	switch {
-	case j.Ends == 0 || (j.Ends < Crashes && now.Sub(j.Last) > suspectFor):
+	case j.Ends == 0 || (j.Ends < Crashes && now.Sub(j.Last) > suspectRetention):
 		return Judgement{}
 	case j.Ends < Crashes:
 		j.Verdict = Suspect
-	case now.Sub(r.reached()) < objectionTime:
+	case now.Sub(r.thresholdReachedAt()) < confirmationDelay:
 		j.Verdict = Busy
 	case t.trialDue(r, now):
 		j.Verdict = Trial
@@ -217,15 +221,15 @@
 	return j
 }
 
-// trialDue reports whether it is this host's turn to try a quarantined request once more:
-// after its time, or once the servers run another release. The hosts' turns are apart, so
-// that the outcome of one is known before the next.
+// trialDue reports whether this host may run a quarantined request as a trial: after the hold
+// time, or once no server runs the release that crashed. Each host adds a delay derived from its
+// name, so that the outcome of one trial reaches the other hosts before the next.
 func (t *Table) trialDue(r *record, now time.Time) bool {
-	ends := r.counted()
-	if ends >= maxEnds {
+	crashes := r.crashCount()
+	if crashes >= maxCrashes {
 		return false
 	}
-	due := r.last().Add(t.o.Hold << (ends - Crashes))
+	due := r.lastCrashAt().Add(t.o.Hold << (crashes - Crashes))
 	if !r.replacedAt.IsZero() && r.replacedAt.Before(due) {
 		due = r.replacedAt
 	}
@@ -234,10 +238,11 @@
 	return !now.Before(due.Add(time.Duration(turn * float64(t.hosts) * float64(trialSpacing))))
 }
 
-// counted is the number of ends that speak against the request.
-func (r *record) counted() int {
+// crashCount returns the number of crashes counted against the request: those of processes that
+// have not announced themselves since.
+func (r *record) crashCount() int {
 	n := 0
-	for _, e := range r.ends {
+	for _, e := range r.crashes {
 		if !e.alive {
 			n++
 		}
@@ -245,21 +250,21 @@
 	return n
 }
 
-// reached is when the number of ends reached Crashes.
-func (r *record) reached() time.Time {
-	var ends []time.Time
-	for _, e := range r.ends {
+// thresholdReachedAt returns when the number of crashes reached Crashes; the record has that many.
+func (r *record) thresholdReachedAt() time.Time {
+	var times []time.Time
+	for _, e := range r.crashes {
 		if !e.alive {
-			ends = append(ends, e.at)
+			times = append(times, e.at)
 		}
 	}
-	slices.SortFunc(ends, time.Time.Compare)
-	return ends[Crashes-1]
+	slices.SortFunc(times, time.Time.Compare)
+	return times[Crashes-1]
 }
 
-func (r *record) last() time.Time {
+func (r *record) lastCrashAt() time.Time {
 	var last time.Time
-	for _, e := range r.ends {
+	for _, e := range r.crashes {
 		if !e.alive && e.at.After(last) {
 			last = e.at
 		}
@@ -267,74 +272,77 @@
 	return last
 }
 
-// Evidence is that a start of a server ended while it ran a request.
+// Evidence states that a server process ended while it ran a request.
 type Evidence struct {
 	Fingerprint Fingerprint
-	// Server is the key of the start.
+	// Server is the key of the process; see Start.Key.
 	Server uint64
-	// Team is whose request it is, Service what it asked for and Release the version of the
+	// Team is the request's team, Service its service or model, and Release the version of the
 	// server's software.
 	Team, Service, Release string
 }
 
-// Ended takes evidence and returns how the request stands then. A request that was answered
-// moments ago did not end the server: many callers may send the same one.
+// Ended records evidence and returns the resulting judgement. It reports in counted whether the
+// evidence added a crash. Evidence against a request that was answered within answerValidity is
+// discarded: many callers may send the same request, so it may be in progress at servers whose
+// crash it did not cause.
 func (t *Table) Ended(e Evidence, now time.Time) (j Judgement, counted bool) {
-	if t.served.lately(e.Fingerprint, now) {
+	if t.answers.contains(e.Fingerprint, now) {
 		return t.Judge(e.Fingerprint, now), false
 	}
 	r := t.get(e.Fingerprint)
 	if r == nil {
 		r = t.add(e.Fingerprint)
 	}
-	if t.judge(r, now).Ends == 0 && len(r.ends) > 0 {
-		r.ends = nil // long ago
+	if t.judge(r, now).Ends == 0 && len(r.crashes) > 0 {
+		r.crashes = nil // the earlier crashes have expired
 		r.cleared++
 	}
-	if !r.addEnd(end{server: e.Server, at: now}) {
+	if !r.addCrash(crash{server: e.Server, at: now}) {
 		return t.judge(r, now), false
 	}
 	r.team, r.service, r.release, r.replacedAt = e.Team, e.Service, e.Release, time.Time{}
-	t.changeOwn(r, now)
+	t.markChangedLocally(r, now)
 	return t.judge(r, now), true
 }
 
-// addEnd adds an end or merges it with the one of the same start. It reports whether
-// something was news.
-func (r *record) addEnd(e end) bool {
-	at, found := slices.BinarySearchFunc(r.ends, e.server, func(have end, want uint64) int { return cmp.Compare(have.server, want) })
+// addCrash adds a crash or merges it with the recorded one of the same process. It reports
+// whether it added the crash or marked its process alive; an earlier time alone is no change.
+func (r *record) addCrash(e crash) bool {
+	at, found := slices.BinarySearchFunc(r.crashes, e.server, func(have crash, want uint64) int { return cmp.Compare(have.server, want) })
 	if !found {
-		if len(r.ends) >= maxEnds {
+		if len(r.crashes) >= maxCrashes {
 			return false
 		}
-		r.ends = slices.Insert(r.ends, at, e)
+		r.crashes = slices.Insert(r.crashes, at, e)
 		return true
 	}
-	have := &r.ends[at]
+	have := &r.crashes[at]
 	if e.at.Before(have.at) {
 		have.at = e.at
 	}
-	news := e.alive && !have.alive
+	changed := e.alive && !have.alive
 	have.alive = have.alive || e.alive
-	return news
+	return changed
 }
 
-// Served records that a server answered the request to its end: it does not crash servers.
-// It reports whether ends were taken back for it.
+// Served records that a server answered the request completely, so that it does not crash
+// servers. It reports whether crashes were cleared.
 func (t *Table) Served(f Fingerprint, now time.Time) (cleared bool) {
-	t.served.note(f, now)
+	t.answers.add(f, now)
 	r := t.get(f)
-	if r == nil || r.counted() == 0 {
+	if r == nil || r.crashCount() == 0 {
 		return false
 	}
 	t.clear(r, now)
 	return true
 }
 
-// Lift ends a fingerprint's quarantine, or the suspicion of it. It reports whether there was one.
+// Lift clears a fingerprint's crashes, and so ends its quarantine or suspicion. It reports whether
+// there were any.
 func (t *Table) Lift(f Fingerprint, now time.Time) bool {
 	r := t.get(f)
-	if r == nil || r.counted() == 0 {
+	if r == nil || r.crashCount() == 0 {
 		return false
 	}
 	t.clear(r, now)
@@ -343,30 +351,31 @@
 
 func (t *Table) clear(r *record, now time.Time) {
 	r.cleared++
-	r.ends, r.replacedAt = nil, time.Time{}
-	t.changeOwn(r, now)
+	r.crashes, r.replacedAt = nil, time.Time{}
+	t.markChangedLocally(r, now)
 }
 
-// Alive records that a start was heard after it was held to have ended. It returns the
-// fingerprints for which its end was taken back.
+// Alive records that a server process announced itself after it was recorded as ended. It returns
+// the fingerprints against which it no longer counts.
 func (t *Table) Alive(server uint64, now time.Time) []Fingerprint {
 	var out []Fingerprint
 	for e := t.order.Front(); e != nil; {
 		r := e.Value.(*record)
-		e = e.Next() // a change moves r to the end
-		i := slices.IndexFunc(r.ends, func(x end) bool { return x.server == server && !x.alive })
+		e = e.Next() // markChangedLocally moves r to the back
+		i := slices.IndexFunc(r.crashes, func(x crash) bool { return x.server == server && !x.alive })
 		if i < 0 {
 			continue
 		}
-		r.ends[i].alive = true
-		t.changeOwn(r, now)
+		r.crashes[i].alive = true
+		t.markChangedLocally(r, now)
 		out = append(out, r.fingerprint)
 	}
 	return out
 }
 
-// SetReleases tells which releases the servers of a service run now. A quarantine made by
-// another release gets a trial.
+// SetReleases sets the releases that the servers of a service run. A quarantine caused by crashes
+// of a release that no server runs is due for a trial. The call has no effect if any server's
+// release is unknown.
 func (t *Table) SetReleases(service string, releases []string, now time.Time) {
 	if len(releases) == 0 || slices.Contains(releases, "") {
 		return
@@ -383,7 +392,7 @@
 	}
 }
 
-// add makes room for a fingerprint and returns its record.
+// add inserts an empty record for a fingerprint, evicting others when the table is full.
 func (t *Table) add(f Fingerprint) *record {
 	if len(t.records) >= t.o.Capacity {
 		t.evict()
@@ -393,12 +402,12 @@
 	return r
 }
 
-// evictShare of the capacity is freed at once, so that a flood does not sort the table for
-// each fingerprint.
-const evictShare = 8
+// evictionDivisor sets the part of the capacity that one eviction frees (1/8), so that a flood
+// of new fingerprints does not sort the table for each of them.
+const evictionDivisor = 8
 
-// evict drops what costs least to forget: first fingerprints whose ends were taken back, then
-// those with fewest ends, of these the ones that changed longest ago.
+// evict removes records with no attempt in progress that must run alone: first those whose crashes
+// were cleared, then those with the fewest crashes, and among equals the least recently changed.
 func (t *Table) evict() {
 	all := make([]*record, 0, len(t.records))
 	for e := t.order.Front(); e != nil; e = e.Next() {
@@ -406,8 +415,8 @@
 			all = append(all, r)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b *record) int { return cmp.Compare(a.counted(), b.counted()) })
-	for _, r := range all[:min(len(all), max(1, t.o.Capacity/evictShare))] {
+	slices.SortStableFunc(all, func(a, b *record) int { return cmp.Compare(a.crashCount(), b.crashCount()) })
+	for _, r := range all[:min(len(all), max(1, t.o.Capacity/evictionDivisor))] {
 		t.drop(r)
 	}
 }
@@ -417,33 +426,33 @@
 	delete(t.records, r.fingerprint)
 }
 
-// Forget drops what is too old to matter.
+// Forget removes expired records.
 func (t *Table) Forget(now time.Time) {
 	for e := t.order.Front(); e != nil; {
 		r := e.Value.(*record)
 		e = e.Next()
-		keep := suspectFor
-		if r.counted() >= Crashes {
-			keep = quarantinedFor
+		keep := suspectRetention
+		if r.crashCount() >= Crashes {
+			keep = quarantineRetention
 		}
-		if now.Sub(r.touched) <= suspectFor {
-			return // the order is by the last change
+		if now.Sub(r.changedAt) <= suspectRetention {
+			return // ordered by last change: the following records are newer
 		}
-		if now.Sub(r.touched) > keep && r.running == 0 {
+		if now.Sub(r.changedAt) > keep && r.running == 0 {
 			t.drop(r)
 		}
 	}
 }
 
-// change notes that a record has changed.
-func (t *Table) change(r *record, now time.Time) {
+// markChanged assigns the next revision to a record and moves it to the back of the order.
+func (t *Table) markChanged(r *record, now time.Time) {
 	t.revision++
-	r.changed, r.touched = t.revision, now
+	r.revision, r.changedAt = t.revision, now
 	t.order.MoveToBack(t.records[r.fingerprint])
 }
 
-// changeOwn notes that a record has changed by what was seen here.
-func (t *Table) changeOwn(r *record, now time.Time) {
-	t.change(r, now)
-	r.own = r.changed
+// markChangedLocally marks a record as changed by this host's own observations.
+func (t *Table) markChangedLocally(r *record, now time.Time) {
+	t.markChanged(r, now)
+	r.localRevision = r.revision
 }
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -20,72 +20,72 @@
 	return Identity{Caller: "team", Target: fmt.Sprint("/chat/", n)}.Fingerprint()
 }
 
-func (t *Table) endedAt(f Fingerprint, server uint64, now time.Time) Judgement {
+func (t *Table) crashAt(f Fingerprint, server uint64, now time.Time) Judgement {
 	j, _ := t.Ended(Evidence{Fingerprint: f, Server: server, Team: "team", Service: "llm", Release: "v1"}, now)
 	return j
 }
 
-// TestVerdicts plays what happens to one request, and checks how the next attempt is treated.
+// TestVerdicts replays events of one request and checks the verdict on its next attempt.
 func TestVerdicts(t *testing.T) {
 	f := request(1)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	three := func(t *Table) {
 		for s := range uint64(3) {
-			t.endedAt(f, s, start)
+			t.crashAt(f, s, start)
 		}
 	}
 	for _, c := range []struct {
-		name  string
-		play  func(*Table)
-		after time.Duration
-		want  Verdict
+		name   string
+		events func(*Table)
+		after  time.Duration
+		want   Verdict
 	}{
-		{"never seen", func(*Table) {}, 0, Clear},
-		{"one server ended", func(t *Table) { t.endedAt(f, 1, start) }, 0, Suspect},
-		{"one start counts once", func(t *Table) { t.endedAt(f, 1, start); t.endedAt(f, 1, start); t.endedAt(f, 1, start) }, 0, Suspect},
-		{"two servers ended", func(t *Table) { t.endedAt(f, 1, start); t.endedAt(f, 2, start) }, 0, Suspect},
-		{"two servers ended, and it runs already", func(t *Table) { t.endedAt(f, 1, start); t.endedAt(f, 2, start); t.Begin(f, false, start) }, 0, Busy},
-		{"two servers ended, and it ran", func(t *Table) {
-			t.endedAt(f, 1, start)
-			t.endedAt(f, 2, start)
+		{"unknown fingerprint", func(*Table) {}, 0, Clear},
+		{"one server crashed", func(t *Table) { t.crashAt(f, 1, start) }, 0, Suspect},
+		{"one process counts once", func(t *Table) { t.crashAt(f, 1, start); t.crashAt(f, 1, start); t.crashAt(f, 1, start) }, 0, Suspect},
+		{"two servers crashed", func(t *Table) { t.crashAt(f, 1, start); t.crashAt(f, 2, start) }, 0, Suspect},
+		{"two servers crashed, an attempt is in progress", func(t *Table) { t.crashAt(f, 1, start); t.crashAt(f, 2, start); t.Begin(f, false, start) }, 0, Busy},
+		{"two servers crashed, an attempt has finished", func(t *Table) {
+			t.crashAt(f, 1, start)
+			t.crashAt(f, 2, start)
 			t.Finish(f, t.Begin(f, false, start))
 		}, 0, Suspect},
-		{"three servers ended just now", three, objectionTime - time.Millisecond, Busy},
-		{"three servers ended", three, objectionTime, Quarantined},
-		{"three of another request", func(t *Table) {
-			t.endedAt(request(2), 1, start)
-			t.endedAt(request(2), 2, start)
-			t.endedAt(request(2), 3, start)
+		{"three servers crashed, within the confirmation delay", three, confirmationDelay - time.Millisecond, Busy},
+		{"three servers crashed", three, confirmationDelay, Quarantined},
+		{"three servers crashed under another request", func(t *Table) {
+			t.crashAt(request(2), 1, start)
+			t.crashAt(request(2), 2, start)
+			t.crashAt(request(2), 3, start)
 		}, 0, Clear},
-		{"two ended, it was answered, one more ended", func(t *Table) {
-			t.endedAt(f, 1, start)
-			t.endedAt(f, 2, start)
+		{"two crashes, an answer, one more crash", func(t *Table) {
+			t.crashAt(f, 1, start)
+			t.crashAt(f, 2, start)
 			t.Served(f, start)
-			t.endedAt(f, 3, at(time.Minute))
+			t.crashAt(f, 3, at(time.Minute))
 		}, time.Minute, Suspect},
-		{"three ended at once moments after it was answered", func(t *Table) { t.Served(f, at(-5*time.Second)); three(t) }, 0, Clear},
-		{"three ended long after it was answered", func(t *Table) { t.Served(f, at(-time.Minute)); three(t) }, objectionTime, Quarantined},
-		{"three ended, it was answered", func(t *Table) { three(t); t.Served(f, start) }, 0, Clear},
-		{"three ended, one was heard again", func(t *Table) { three(t); t.Alive(2, start) }, 0, Suspect},
-		{"one that was heard again ends again", func(t *Table) { three(t); t.Alive(2, start); t.endedAt(f, 2, start) }, 0, Suspect},
+		{"three crashes at once within the validity of an answer", func(t *Table) { t.Served(f, at(-5*time.Second)); three(t) }, 0, Clear},
+		{"three crashes long after an answer", func(t *Table) { t.Served(f, at(-time.Minute)); three(t) }, confirmationDelay, Quarantined},
+		{"three crashes, then an answer", func(t *Table) { three(t); t.Served(f, start) }, 0, Clear},
+		{"three crashes, one process announced itself later", func(t *Table) { three(t); t.Alive(2, start) }, 0, Suspect},
+		{"crash of a process that had announced itself later", func(t *Table) { three(t); t.Alive(2, start); t.crashAt(f, 2, start) }, 0, Suspect},
 		{"lifted", func(t *Table) { three(t); t.Lift(f, start) }, 0, Clear},
-		{"two ended long ago", func(t *Table) { t.endedAt(f, 1, start); t.endedAt(f, 2, start) }, time.Hour, Clear},
-		{"two ended long ago, one now", func(t *Table) { t.endedAt(f, 1, start); t.endedAt(f, 2, start); t.endedAt(f, 3, at(time.Hour)) }, time.Hour, Suspect},
-		{"three ended, not long enough ago", three, hold - time.Second, Quarantined},
-		{"three ended long enough ago", three, hold + trialSpacing, Trial},
-		{"the trial runs", func(t *Table) { three(t); t.Begin(f, false, at(hold+trialSpacing)) }, hold + trialSpacing, Busy},
-		{"the trial ended a server", func(t *Table) { three(t); t.endedAt(f, 9, at(hold+trialSpacing)) }, 2*hold + trialSpacing, Quarantined},
-		{"long after the trial", func(t *Table) { three(t); t.endedAt(f, 9, at(hold)) }, 3*hold + trialSpacing, Trial},
-		{"after three trials", func(t *Table) {
+		{"two crashes, expired", func(t *Table) { t.crashAt(f, 1, start); t.crashAt(f, 2, start) }, time.Hour, Clear},
+		{"two expired crashes, one new", func(t *Table) { t.crashAt(f, 1, start); t.crashAt(f, 2, start); t.crashAt(f, 3, at(time.Hour)) }, time.Hour, Suspect},
+		{"three crashes, hold time not over", three, hold - time.Second, Quarantined},
+		{"three crashes, hold time over", three, hold + trialSpacing, Trial},
+		{"trial in progress", func(t *Table) { three(t); t.Begin(f, false, at(hold+trialSpacing)) }, hold + trialSpacing, Busy},
+		{"trial crashed a server", func(t *Table) { three(t); t.crashAt(f, 9, at(hold+trialSpacing)) }, 2*hold + trialSpacing, Quarantined},
+		{"doubled hold time after a trial is over", func(t *Table) { three(t); t.crashAt(f, 9, at(hold)) }, 3*hold + trialSpacing, Trial},
+		{"no trial after three that crashed servers", func(t *Table) {
 			for s := range uint64(6) {
-				t.endedAt(f, s, start)
+				t.crashAt(f, s, start)
 			}
 		}, 23 * time.Hour, Quarantined},
-		{"another release runs", func(t *Table) { three(t); t.SetReleases("llm", []string{"v2"}, start) }, trialSpacing, Trial},
-		{"another release runs beside it", func(t *Table) { three(t); t.SetReleases("llm", []string{"v1", "v2"}, start) }, trialSpacing, Quarantined},
-		{"another service's release", func(t *Table) { three(t); t.SetReleases("desk", []string{"v2"}, start) }, trialSpacing, Quarantined},
-		{"releases that are not told", func(t *Table) { three(t); t.SetReleases("llm", []string{""}, start) }, trialSpacing, Quarantined},
-		{"the trial of another release ended a server", func(t *Table) {
+		{"only another release runs", func(t *Table) { three(t); t.SetReleases("llm", []string{"v2"}, start) }, trialSpacing, Trial},
+		{"another release runs beside the one that crashed", func(t *Table) { three(t); t.SetReleases("llm", []string{"v1", "v2"}, start) }, trialSpacing, Quarantined},
+		{"another release of another service", func(t *Table) { three(t); t.SetReleases("desk", []string{"v2"}, start) }, trialSpacing, Quarantined},
+		{"unknown release", func(t *Table) { three(t); t.SetReleases("llm", []string{""}, start) }, trialSpacing, Quarantined},
+		{"trial on another release crashed a server", func(t *Table) {
 			three(t)
 			t.SetReleases("llm", []string{"v2"}, start)
 			t.Ended(Evidence{Fingerprint: f, Server: 9, Service: "llm", Release: "v2"}, at(trialSpacing))
@@ -94,78 +94,79 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := newTable("host")
-			c.play(table)
+			c.events(table)
 			if got := table.Begin(f, false, at(c.after)); got.Verdict != c.want {
-				t.Errorf("%s with %d ends, want %s", got.Verdict, got.Ends, c.want)
+				t.Errorf("verdict %s with %d crashes, want %s", got.Verdict, got.Ends, c.want)
 			}
 		})
 	}
 }
 
-// TestOwnRepeatsDoNotQuarantine checks that a request which two servers ended under is not
-// sent to a third one by the system itself.
+// TestOwnRepeatsDoNotQuarantine checks that the system's own retry does not send a request that
+// crashed two servers to a third one.
 func TestOwnRepeatsDoNotQuarantine(t *testing.T) {
 	f := request(1)
 	for ends, want := range []Verdict{Clear, Suspect, Busy, Quarantined} {
-		now := start.Add(objectionTime)
+		now := start.Add(confirmationDelay)
 		table := newTable("host")
 		for s := range ends {
-			table.endedAt(f, uint64(s), start)
+			table.crashAt(f, uint64(s), start)
 		}
 		if got := table.Begin(f, true, now).Verdict; got != want {
-			t.Errorf("after %d ends: %s, want %s", ends, got, want)
+			t.Errorf("after %d crashes: verdict %s, want %s", ends, got, want)
 		}
 	}
 }
 
-// TestObjection lets three servers end at once under a request that one of two hosts has
-// answered lately and the other has not.
-func TestObjection(t *testing.T) {
+// TestRecentAnswerClearsCrashesOfOtherHost records three crashes on one host for a request that
+// another host has just received an answer to; after an exchange both hosts clear them.
+func TestRecentAnswerClearsCrashesOfOtherHost(t *testing.T) {
 	f := request(1)
 	answered, other := newTable("a"), newTable("b")
 	answered.Served(f, start)
 	now := start.Add(4 * time.Second)
 	for s := range uint64(3) {
-		other.endedAt(f, s, now)
+		other.crashAt(f, s, now)
 	}
-	now = now.Add(objectionTime / 2)
+	now = now.Add(confirmationDelay / 2)
 	records, _ := other.Since(0, 9, Decisive, now)
 	answered.Merge(records, now)
 	records, _ = answered.Since(0, 9, Own, now)
 	other.Merge(records, now)
 	for _, table := range []*Table{answered, other} {
-		if got := table.Judge(f, now.Add(objectionTime)); got.Verdict != Clear {
-			t.Errorf("%s with %d ends, want clear", got.Verdict, got.Ends)
+		if got := table.Judge(f, now.Add(confirmationDelay)); got.Verdict != Clear {
+			t.Errorf("verdict %s with %d crashes, want clear", got.Verdict, got.Ends)
 		}
 	}
 }
 
-// TestObjectionsEnd lets a request crash servers that one host has answered once: news of the ends
-// is no answer, so the host stops objecting some time after it, and the request is quarantined.
-func TestObjectionsEnd(t *testing.T) {
+// TestRecentAnswerExpires has one host receive one answer to a request that crashes servers from
+// then on. Received crashes must not extend the answer's validity, or the request would never be
+// quarantined.
+func TestRecentAnswerExpires(t *testing.T) {
 	f := request(1)
 	answered, other := newTable("a"), newTable("b")
 	answered.Served(f, start)
 	now := start
 	for server := range uint64(10) {
 		now = now.Add(4 * time.Second)
-		other.endedAt(f, server, now)
+		other.crashAt(f, server, now)
 		records, _ := other.Since(0, 9, All, now)
 		answered.Merge(records, now)
 		records, _ = answered.Since(0, 9, Own, now)
 		other.Merge(records, now)
 	}
-	now = now.Add(objectionTime + time.Second)
+	now = now.Add(confirmationDelay + time.Second)
 	for _, table := range []*Table{answered, other} {
 		if got := table.Judge(f, now); got.Verdict != Quarantined {
-			t.Errorf("%s with %d ends, want quarantined", got.Verdict, got.Ends)
+			t.Errorf("verdict %s with %d crashes, want quarantined", got.Verdict, got.Ends)
 		}
 	}
 }
 
-// TestTurnsAtATrial checks that two hosts of many hardly ever try at the same moment, and
-// that each comes to its turn.
-func TestTurnsAtATrial(t *testing.T) {
+// TestTrialsAreSpreadOverHosts checks that at most six of 300 hosts are due for a trial in the same
+// second, and that every host becomes due.
+func TestTrialsAreSpreadOverHosts(t *testing.T) {
 	const hosts = 300
 	f := request(1)
 	first := map[time.Duration]int{}
@@ -173,7 +174,7 @@
 		table := newTable(fmt.Sprint("host-", h))
 		table.SetHosts(hosts)
 		for s := range uint64(3) {
-			table.endedAt(f, s, start)
+			table.crashAt(f, s, start)
 		}
 		due := time.Duration(-1)
 		for d := hold; d <= hold+hosts*trialSpacing; d += time.Second {
@@ -183,57 +184,57 @@
 			}
 		}
 		if due < 0 {
-			t.Fatalf("host %d never comes to its turn", h)
+			t.Fatalf("host %d never becomes due for a trial", h)
 		}
 		first[due]++
 	}
 	for d, n := range first {
 		if n > 6 {
-			t.Errorf("%d hosts try at %s", n, d)
+			t.Errorf("%d hosts become due for a trial at %s", n, d)
 		}
 	}
 }
 
-// TestWhatIsForgottenFirst fills a table beyond its capacity: quarantined fingerprints stay,
-// and those with one end go first.
-func TestWhatIsForgottenFirst(t *testing.T) {
+// TestEvictionOrder fills a table beyond its capacity: fingerprints with one crash are evicted
+// first, and quarantined ones are kept. It then checks the retention times.
+func TestEvictionOrder(t *testing.T) {
 	table := New(Options{Host: "h", Capacity: 40, Hold: hold})
 	quarantined := request(-1)
 	for s := range uint64(3) {
-		table.endedAt(quarantined, s, start)
+		table.crashAt(quarantined, s, start)
 	}
 	twice := request(-2)
-	table.endedAt(twice, 1, start)
-	table.endedAt(twice, 2, start)
+	table.crashAt(twice, 1, start)
+	table.crashAt(twice, 2, start)
 	for n := range 10_000 {
-		table.endedAt(request(n), 7, start.Add(time.Duration(n)*time.Millisecond))
+		table.crashAt(request(n), 7, start.Add(time.Duration(n)*time.Millisecond))
 		if table.Len() > 40 {
-			t.Fatalf("%d fingerprints are kept", table.Len())
+			t.Fatalf("table holds %d fingerprints, capacity 40", table.Len())
 		}
 	}
-	if got := table.Judge(quarantined, start.Add(objectionTime)).Verdict; got != Quarantined {
-		t.Errorf("a quarantined request is %s after a flood of others", got)
+	if got := table.Judge(quarantined, start.Add(confirmationDelay)).Verdict; got != Quarantined {
+		t.Errorf("a quarantined request has verdict %s after a flood of other fingerprints", got)
 	}
 	if got := table.Judge(twice, start).Ends; got != 2 {
-		t.Errorf("%d ends are left of two", got)
+		t.Errorf("%d crashes are left of two", got)
 	}
-	table.Forget(start.Add(suspectFor + time.Hour))
+	table.Forget(start.Add(suspectRetention + time.Hour))
 	if table.Len() != 1 {
-		t.Errorf("%d fingerprints are kept after an hour, want the quarantined one", table.Len())
+		t.Errorf("table holds %d fingerprints after the suspect retention, want only the quarantined one", table.Len())
 	}
-	table.Forget(start.Add(quarantinedFor + time.Hour))
+	table.Forget(start.Add(quarantineRetention + time.Hour))
 	if table.Len() != 0 {
-		t.Errorf("%d fingerprints are kept after a day", table.Len())
+		t.Errorf("table holds %d fingerprints after the quarantine retention, want 0", table.Len())
 	}
 }
 
-// fleetModel is a fleet of tables that tell each other, by a random schedule.
+// fleetModel is a set of tables that exchange records by a random schedule.
 type fleetModel struct {
-	tables []*Table
-	next   uint64 // key of the next start of a server
-	now    time.Time
-	ends   map[Fingerprint]map[uint64]bool // ends since the last answer, as they were
-	held   []message
+	tables     []*Table
+	nextServer uint64 // key of the next server process
+	now        time.Time
+	crashes    map[Fingerprint]map[uint64]bool // crashed processes, by request
+	inFlight   []message                       // sent and not yet delivered for the last time
 }
 
 type message struct {
@@ -241,39 +242,39 @@
 	records []*pb.QuarantineRecord
 }
 
-// TestAnyOrderOfNews plays ends, answers and news between hosts that is lost, doubled, late and
-// out of order. A request under which fewer than Crashes servers ended is never refused; and
-// once everything was told again, all hosts refuse exactly those that ended as many with no
-// answer since.
+// TestAnyOrderOfNews draws crashes, answers and exchanges between hosts whose messages are lost,
+// duplicated, delayed and reordered. A request with fewer than Crashes crashes is never refused.
+// After a complete exchange, every host refuses the crashing request exactly if it has at least
+// Crashes crashes.
 func TestAnyOrderOfNews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &fleetModel{now: start, ends: map[Fingerprint]map[uint64]bool{}}
+		m := &fleetModel{now: start, crashes: map[Fingerprint]map[uint64]bool{}}
 		for h := range 4 {
 			m.tables = append(m.tables, newTable(fmt.Sprint("host-", h)))
 		}
 		crashing, healthy := request(1), request(2)
 		t.Repeat(map[string]func(*rapid.T){
-			"a server ends under the crashing request": func(t *rapid.T) { m.end(t, crashing) },
-			"a server ends under the healthy request": func(t *rapid.T) {
-				if len(m.ends[healthy]) < Crashes-1 {
-					m.end(t, healthy)
+			"the crashing request crashes a server": func(t *rapid.T) { m.crash(t, crashing) },
+			"a server crashes under the healthy request": func(t *rapid.T) {
+				if len(m.crashes[healthy]) < Crashes-1 {
+					m.crash(t, healthy)
 				}
 			},
 			"the healthy request is answered": func(t *rapid.T) {
 				m.table(t).Served(healthy, m.now)
 			},
-			"news is sent": func(t *rapid.T) {
+			"a message is sent": func(t *rapid.T) {
 				records, _ := m.table(t).Since(0, 100, All, m.now)
-				m.held = append(m.held, message{rapid.IntRange(0, 3).Draw(t, "to"), records})
+				m.inFlight = append(m.inFlight, message{rapid.IntRange(0, 3).Draw(t, "to"), records})
 			},
-			"news arrives": func(t *rapid.T) {
-				if len(m.held) == 0 {
-					t.Skip("none")
+			"a message arrives": func(t *rapid.T) {
+				if len(m.inFlight) == 0 {
+					t.Skip("no message in flight")
 				}
-				i := rapid.IntRange(0, len(m.held)-1).Draw(t, "message")
-				m.tables[m.held[i].to].Merge(m.held[i].records, m.now)
+				i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
+				m.tables[m.inFlight[i].to].Merge(m.inFlight[i].records, m.now)
 				if rapid.Bool().Draw(t, "only once") {
-					m.held = append(m.held[:i], m.held[i+1:]...)
+					m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
 				}
 			},
 			"time passes": func(t *rapid.T) {
@@ -282,17 +283,17 @@
 			"": func(t *rapid.T) {
 				for h, table := range m.tables {
 					if v := table.Judge(healthy, m.now); v.Verdict >= Trial || v.Ends >= Crashes {
-						t.Fatalf("host %d refuses a request under which %d servers ended", h, len(m.ends[healthy]))
+						t.Fatalf("host %d refuses a request with %d crashes", h, len(m.crashes[healthy]))
 					}
 				}
 			},
 		})
-		m.tellAll()
-		m.now = m.now.Add(objectionTime + time.Second) // ages are told in whole seconds
+		m.exchangeAll()
+		m.now = m.now.Add(confirmationDelay + time.Second) // ages are encoded in whole seconds
 		for h, table := range m.tables {
 			refused := table.Judge(crashing, m.now).Verdict == Quarantined
-			if owed := len(m.ends[crashing]) >= Crashes; refused != owed {
-				t.Fatalf("host %d refuses: %v; %d servers ended under the request", h, refused, len(m.ends[crashing]))
+			if owed := len(m.crashes[crashing]) >= Crashes; refused != owed {
+				t.Fatalf("host %d refuses: %v; the request has %d crashes", h, refused, len(m.crashes[crashing]))
 			}
 		}
 	})
@@ -302,19 +303,20 @@
 	return m.tables[rapid.IntRange(0, len(m.tables)-1).Draw(t, "host")]
 }
 
-func (m *fleetModel) end(t *rapid.T, f Fingerprint) {
-	m.next++
-	if _, counted := m.table(t).Ended(Evidence{Fingerprint: f, Server: m.next, Team: "team", Service: "llm"}, m.now); !counted {
+func (m *fleetModel) crash(t *rapid.T, f Fingerprint) {
+	m.nextServer++
+	if _, counted := m.table(t).Ended(Evidence{Fingerprint: f, Server: m.nextServer, Team: "team", Service: "llm"}, m.now); !counted {
 		return
 	}
-	if m.ends[f] == nil {
-		m.ends[f] = map[uint64]bool{}
+	if m.crashes[f] == nil {
+		m.crashes[f] = map[uint64]bool{}
 	}
-	m.ends[f][m.next] = true
+	m.crashes[f][m.nextServer] = true
 }
 
-// tellAll lets each host tell each other one all that it knows.
-func (m *fleetModel) tellAll() {
+// exchangeAll sends all records of each table to every table, twice, so that answers to received
+// crashes also reach all tables.
+func (m *fleetModel) exchangeAll() {
 	for _, from := range m.tables {
 		for _, to := range m.tables {
 			records, _ := from.Since(0, 100, All, m.now)
@@ -329,11 +331,11 @@
 	}
 }
 
-// TestNewsInParts reads a table's changes a few at a time, and again after more changes.
-func TestNewsInParts(t *testing.T) {
+// TestSinceInParts reads a table's changes a few at a time, and again after more changes.
+func TestSinceInParts(t *testing.T) {
 	table, other := newTable("a"), newTable("b")
 	for n := range 10 {
-		table.endedAt(request(n), 1, start)
+		table.crashAt(request(n), 1, start)
 	}
 	read, seen := uint64(0), 0
 	for {
@@ -345,20 +347,20 @@
 		read, seen = next, seen+len(records)
 	}
 	if seen != 10 || other.Len() != 10 {
-		t.Errorf("%d records were read, %d merged, want 10", seen, other.Len())
+		t.Errorf("%d records read, %d merged, want 10", seen, other.Len())
 	}
-	table.endedAt(request(4), 2, start)
+	table.crashAt(request(4), 2, start)
 	records, next := table.Since(read, 3, All, start)
 	if len(records) != 1 || next != table.Revision() {
-		t.Errorf("%d records after one change", len(records))
+		t.Errorf("%d records after one change, want 1", len(records))
 	}
 	if own, _ := other.Since(0, 100, Own, start); len(own) != 0 {
-		t.Errorf("%d records that were told pass for own ones", len(own))
+		t.Errorf("%d received records are reported as own, want 0", len(own))
 	}
-	table.endedAt(request(5), 2, start)
-	table.Merge([]*pb.QuarantineRecord{other.get(request(5)).message(start), {Fingerprint: bytesOf(request(5)), Server: []uint64{9}, AgeS: []uint32{0}}}, start)
+	table.crashAt(request(5), 2, start)
+	table.Merge([]*pb.QuarantineRecord{other.get(request(5)).encode(start), {Fingerprint: bytesOf(request(5)), Server: []uint64{9}, AgeS: []uint32{0}}}, start)
 	if own, _ := table.Since(next, 100, Own, start); len(own) != 1 || len(own[0].Server) != 3 {
-		t.Errorf("what was seen here is not told after news of the same request: %v", own)
+		t.Errorf("own crash is not sent after a received record of the same request: %v", own)
 	}
 	table.Lift(request(5), start)
 	if decisive, _ := table.Since(0, 100, Decisive, start); len(decisive) != 2 || decisive[0].Service != "llm" {
@@ -366,28 +368,28 @@
 	}
 }
 
-// TestNamesOfEndsSeenApart lets three hosts see one end each: what is put together names the
-// team and the service.
-func TestNamesOfEndsSeenApart(t *testing.T) {
+// TestMergedRecordHasNames merges the records of three hosts that observed one crash each: the
+// combined record names the team, service and release.
+func TestMergedRecordHasNames(t *testing.T) {
 	together := newTable("control")
 	for s, host := range []string{"a", "b", "c"} {
 		table := newTable(host)
-		table.endedAt(request(1), uint64(s), start)
+		table.crashAt(request(1), uint64(s), start)
 		records, _ := table.Since(0, 9, Own, start)
 		together.Merge(records, start)
 	}
 	list := together.List(start)
 	if len(list) != 1 || list[0].Team != "team" || list[0].Service != "llm" || list[0].Release != "v1" || list[0].Crashes != 3 {
-		t.Errorf("listed: %+v", list)
+		t.Errorf("List returned %+v", list)
 	}
 }
 
-// TestEvidenceAfterAnAnswerElsewhere lets one host take back an end that only it knows of, and
-// another see three ends later: they count at the control hosts only if the second host was told
-// that the first end was taken back.
+// TestEvidenceAfterAnAnswerElsewhere has one host clear a crash that only it recorded, and another
+// record three crashes later. Records with a lower cleared count are discarded on merging, so these
+// count at the control hosts only if the second host received the cleared record first.
 func TestEvidenceAfterAnAnswerElsewhere(t *testing.T) {
 	first, second, control := newTable("a"), newTable("b"), newTable("control")
-	first.endedAt(request(1), 1, start)
+	first.crashAt(request(1), 1, start)
 	first.Served(request(1), start)
 	records, _ := first.Since(0, 9, Own, start)
 	control.Merge(records, start)
@@ -395,25 +397,25 @@
 	second.Merge(records, start)
 	later := start.Add(time.Minute)
 	for s := range uint64(3) {
-		second.endedAt(request(1), 10+s, later)
+		second.crashAt(request(1), 10+s, later)
 	}
 	records, _ = second.Since(0, 9, Own, later)
 	control.Merge(records, later)
 	if got := control.Judge(request(1), later); got.Ends != 3 {
-		t.Errorf("%d ends are known to the control host, want 3", got.Ends)
+		t.Errorf("control host counts %d crashes, want 3", got.Ends)
 	}
 }
 
-// TestMergeRefusesWhatIsNoRecord gives a table records that no host makes.
-func TestMergeRefusesWhatIsNoRecord(t *testing.T) {
+// TestMergeIgnoresMalformedRecords merges records that no host produces.
+func TestMergeIgnoresMalformedRecords(t *testing.T) {
 	table := newTable("a")
-	long := string(make([]byte, maxName+1))
+	long := string(make([]byte, maxNameBytes+1))
 	f := request(1)
 	table.Merge([]*pb.QuarantineRecord{
 		{}, {Fingerprint: []byte("short"), Server: []uint64{1}}, {Fingerprint: f[:], Server: []uint64{1}, Team: long}, {Fingerprint: f[:]},
 	}, start)
 	if table.Len() != 0 {
-		t.Errorf("%d records were taken", table.Len())
+		t.Errorf("%d malformed records were merged", table.Len())
 	}
 }
 
