--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -269,7 +269,7 @@
 			},
 			"a message arrives": func(t *rapid.T) {
 				if len(m.inFlight) == 0 {
-					t.Skip("no message in flight")
+					t.Skip("none")
 				}
 				i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
 				m.tables[m.inFlight[i].to].Merge(m.inFlight[i].records, m.now)
