--- a/internal/core/configstate/bench_test.go
+++ b/internal/core/configstate/bench_test.go
@@ -12,10 +12,10 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// bigRecord returns a record with so many teams and hosts, over 8 regions with
+// generatedRecord returns a record with so many teams and hosts, over 8 regions with
 // 26 failure domains and 11 models.
-func bigRecord(teams, hosts int, note string) []byte {
-	m := map[string]any{"schema_version": 2, "note": note, "operators": []any{map[string]any{"name": "o", "key_hashes": []string{digest("op")}}}}
+func generatedRecord(teams, hosts int, note string) []byte {
+	m := map[string]any{"schema_version": 2, "note": note, "operators": []any{map[string]any{"name": "o", "key_hashes": []string{hexDigest("op")}}}}
 	var regions, hostList, teamList, models []any
 	domain := 0
 	for r := range 8 {
@@ -38,7 +38,7 @@
 	for i := range teams {
 		teamList = append(teamList, map[string]any{
 			"name": fmt.Sprintf("team-%04d", i), "home": fmt.Sprintf("region-%d", i%8), "kind": "default",
-			"weight": 1 + i%5, "key_hashes": []string{digest(fmt.Sprint(i))},
+			"weight": 1 + i%5, "key_hashes": []string{hexDigest(fmt.Sprint(i))},
 		})
 	}
 	m["regions"], m["hosts"], m["teams"], m["models"] = regions, hostList, teamList, models
@@ -50,31 +50,31 @@
 	return data
 }
 
-func digest(s string) string {
+func hexDigest(s string) string {
 	d := sha256.Sum256([]byte(s))
 	return hex.EncodeToString(d[:])
 }
 
-var benchSigner = ed25519.NewKeyFromSeed(bytes.Repeat([]byte{7}, ed25519.SeedSize))
+var benchSigningKey = ed25519.NewKeyFromSeed(bytes.Repeat([]byte{7}, ed25519.SeedSize))
 
 // BenchmarkInstall is what one accepted change costs a node: delta, digest,
 // signature, parse and validation, by number of teams.
 func BenchmarkInstall(b *testing.B) {
 	for _, teams := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			one, two := bigRecord(teams, 360, "1"), bigRecord(teams, 360, "2")
+			one, two := generatedRecord(teams, 360, "1"), generatedRecord(teams, 360, "2")
 			blob := func(v uint64, raw []byte) *pb.ConfigBlob {
 				s := &pb.ConfigStamp{Generation: 1, Version: v, Digest: Digest(raw)}
-				return &pb.ConfigBlob{Stamp: s, Record: raw, Signature: Sign(benchSigner, s)}
+				return &pb.ConfigBlob{Stamp: s, Record: raw, Signature: Sign(benchSigningKey, s)}
 			}
-			current, err := Install(nil, blob(1, one), benchSigner.Public().(ed25519.PublicKey))
+			current, err := Install(nil, blob(1, one), benchSigningKey.Public().(ed25519.PublicKey))
 			if err != nil {
 				b.Fatal(err)
 			}
 			next := Reply(blob(2, two), 1, 1, one)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Install(current, next, benchSigner.Public().(ed25519.PublicKey)); err != nil {
+				if _, err := Install(current, next, benchSigningKey.Public().(ed25519.PublicKey)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -89,7 +89,7 @@
 	for _, teams := range []int{20, 2000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			m := NewMachine(1)
-			rec := bigRecord(teams, 360, "x")
+			rec := generatedRecord(teams, 360, "x")
 			v := uint64(0)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/core/configstate/compress.go
+++ b/internal/core/configstate/compress.go
@@ -7,15 +7,15 @@
 	"github.com/juju/errors"
 )
 
-// gzipMagic begins compressed bytes; a record in JSON never does.
+// gzipMagic is the prefix of gzip data; a JSON record never begins with it.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// maxInflated bounds an inflated record, in bytes.
-const maxInflated = 64 << 20
+// maxDecompressedBytes bounds the size of a decompressed record, in bytes.
+const maxDecompressedBytes = 64 << 20
 
-// Compress returns a record's bytes compressed, so that one of hundreds of routes passes
-// between regions in one round trip and does not hold up the group's heartbeats beyond the
-// election timeout.
+// Compress returns the bytes compressed with gzip, so that a record with hundreds of routes is
+// transferred between regions in one round trip and does not delay the control group's heartbeats
+// beyond the election timeout.
 func Compress(raw []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -31,7 +31,8 @@
 	return out.Bytes(), nil
 }
 
-// Inflate returns a record's bytes as they were before Compress.
+// Inflate returns the bytes that were passed to Compress. Uncompressed bytes are returned as they
+// are.
 func Inflate(raw []byte) ([]byte, error) {
 	if !bytes.HasPrefix(raw, gzipMagic) {
 		return raw, nil
@@ -41,23 +42,23 @@
 		return nil, errors.Trace(err)
 	}
 	var out bytes.Buffer
-	if _, err := out.ReadFrom(&bounded{r, maxInflated}); err != nil {
+	if _, err := out.ReadFrom(&limitedReader{r, maxDecompressedBytes}); err != nil {
 		return nil, errors.Trace(err)
 	}
 	return out.Bytes(), nil
 }
 
-// bounded fails when more than left bytes are read.
-type bounded struct {
-	r    *gzip.Reader
-	left int
+// limitedReader fails when more than left bytes are read.
+type limitedReader struct {
+	r         *gzip.Reader
+	remaining int
 }
 
 // Read implements io.Reader.
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *limitedReader) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
-	if b.left -= n; b.left < 0 {
-		return n, errors.Errorf("the record is over %d bytes", maxInflated)
+	if b.remaining -= n; b.remaining < 0 {
+		return n, errors.Errorf("decompressed record exceeds %d bytes", maxDecompressedBytes)
 	}
 	return n, err
 }
--- a/internal/core/configstate/configstate_test.go
+++ b/internal/core/configstate/configstate_test.go
@@ -15,8 +15,8 @@
 
 var keyHash = strings.Repeat("ab", 32)
 
-// base is a valid record as a map that tests change.
-func base() map[string]any {
+// validRecord is a valid record as a map that tests change.
+func validRecord() map[string]any {
 	var m map[string]any
 	text := fmt.Sprintf(`{"schema_version":2,"regions":[{"name":"a","failure_domains":["a1","a2"]},{"name":"b","failure_domains":["b1"]}],
 "hosts":[{"id":"h1","region":"a","failure_domain":"a1","peer":"127.0.0.1:1","caller":"http://127.0.0.1:2"},
@@ -29,11 +29,11 @@
 	return m
 }
 
-func item(m map[string]any, list string, i int) map[string]any {
+func listItem(m map[string]any, list string, i int) map[string]any {
 	return m[list].([]any)[i].(map[string]any)
 }
 
-func raw(m map[string]any) []byte {
+func encode(m map[string]any) []byte {
 	data, err := json.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -42,7 +42,7 @@
 }
 
 func TestRecordsThatAreRefused(t *testing.T) {
-	if _, err := Parse(raw(base())); err != nil {
+	if _, err := Parse(encode(validRecord())); err != nil {
 		t.Fatalf("the base record: %v", err)
 	}
 	for _, c := range []struct {
@@ -52,22 +52,22 @@
 	}{
 		{"unknown schema", func(m map[string]any) { m["schema_version"] = 9 }, "schema_version: 9 is not supported"},
 		{"region without entry hosts", func(m map[string]any) { m["hosts"] = m["hosts"].([]any)[:1] }, `region "b" has no entry host`},
-		{"kind that may go nowhere", func(m map[string]any) { item(m, "residency", 0)["regions"] = []string{"b"} }, `leaves no region for model "m"`},
-		{"home that is no region", func(m map[string]any) { item(m, "teams", 0)["home"] = "x" }, `teams[0].home: "x" is not a region`},
-		{"weight out of range", func(m map[string]any) { item(m, "teams", 0)["weight"] = -1 }, "teams[0].weight"},
+		{"kind that may go nowhere", func(m map[string]any) { listItem(m, "residency", 0)["regions"] = []string{"b"} }, `leaves no region for model "m"`},
+		{"home that is no region", func(m map[string]any) { listItem(m, "teams", 0)["home"] = "x" }, `teams[0].home: "x" is not a region`},
+		{"weight out of range", func(m map[string]any) { listItem(m, "teams", 0)["weight"] = -1 }, "teams[0].weight"},
 		{"ceiling out of range", func(m map[string]any) { m["policy"] = map[string]any{"send_away_ceiling": 2} }, "policy.send_away_ceiling"},
 		{"unknown preset", func(m map[string]any) { m["policy"] = map[string]any{"preset": "fast"} }, "is not one of archive"},
-		{"key that is no hash", func(m map[string]any) { item(m, "teams", 0)["key_hashes"] = []string{"secret"} }, "is not a SHA-256 hash"},
+		{"key that is no hash", func(m map[string]any) { listItem(m, "teams", 0)["key_hashes"] = []string{"secret"} }, "is not a SHA-256 hash"},
 		{"nobody may change it", func(m map[string]any) { m["operators"] = []any{} }, "nobody could change the record again"},
-		{"host in a foreign failure domain", func(m map[string]any) { item(m, "hosts", 0)["failure_domain"] = "b1" }, `"b1" is not in region "a"`},
-		{"host twice", func(m map[string]any) { item(m, "hosts", 1)["id"] = "h1" }, "used twice"},
+		{"host in a foreign failure domain", func(m map[string]any) { listItem(m, "hosts", 0)["failure_domain"] = "b1" }, `"b1" is not in region "a"`},
+		{"host twice", func(m map[string]any) { listItem(m, "hosts", 1)["id"] = "h1" }, "used twice"},
 		{"two replicas", func(m map[string]any) { m["ledger"] = map[string]any{"replicas": 2} }, "ledger.replicas"},
 		{"not JSON of a record", func(m map[string]any) { m["regions"] = "x" }, "record:"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := base()
+			m := validRecord()
 			c.edit(m)
-			_, err := Parse(raw(m))
+			_, err := Parse(encode(m))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want %q", err, c.want)
 			}
@@ -76,10 +76,10 @@
 }
 
 func TestPreviousSchemaIsConverted(t *testing.T) {
-	m := base()
+	m := validRecord()
 	m["schema_version"] = 1
 	m["residency"] = []any{map[string]any{"kind": "k"}, map[string]any{"kind": "private"}}
-	r, err := Parse(raw(m))
+	r, err := Parse(encode(m))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 
 func TestMachine(t *testing.T) {
 	m := NewMachine(1)
-	good := raw(base())
+	good := encode(validRecord())
 	steps := []struct {
 		name    string
 		c       *pb.Command
@@ -132,7 +132,7 @@
 
 func TestMachineStaysBounded(t *testing.T) {
 	m := NewMachine(1)
-	good := raw(base())
+	good := encode(validRecord())
 	for v := range uint64(MaxResults + 100) {
 		if r := m.Apply(command(v, fmt.Sprint(v), good)); r.Version != v+1 {
 			t.Fatalf("change %d: %+v", v, r)
@@ -148,15 +148,15 @@
 
 func TestReplicaSetOfTheLedgerCannotChange(t *testing.T) {
 	m := NewMachine(1)
-	m.Apply(command(0, "a", raw(base())))
-	next := base()
-	item(next, "hosts", 0)["id"] = "h9"
-	if r := m.Apply(command(1, "b", raw(next))); r.Code != failure.InvalidRecord {
+	m.Apply(command(0, "a", encode(validRecord())))
+	next := validRecord()
+	listItem(next, "hosts", 0)["id"] = "h9"
+	if r := m.Apply(command(1, "b", encode(next))); r.Code != failure.InvalidRecord {
 		t.Errorf("a change of the host IDs of a region: %+v", r)
 	}
-	replaced := base()
-	item(replaced, "hosts", 0)["peer"] = "127.0.0.9:1"
-	if r := m.Apply(command(1, "c", raw(replaced))); r.Version != 2 {
+	replaced := validRecord()
+	listItem(replaced, "hosts", 0)["peer"] = "127.0.0.9:1"
+	if r := m.Apply(command(1, "c", encode(replaced))); r.Version != 2 {
 		t.Errorf("a replacement machine under the same ID: %+v", r)
 	}
 }
--- a/internal/core/configstate/delta.go
+++ b/internal/core/configstate/delta.go
@@ -2,8 +2,8 @@
 
 import pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 
-// MakeDelta returns what turns base into next: the middle that remains after
-// the common prefix and suffix are taken off.
+// MakeDelta returns the delta from base to next: the lengths of their common
+// prefix and suffix and the bytes of next between them.
 func MakeDelta(baseVersion uint64, base, next []byte) *pb.ConfigDelta {
 	limit := min(len(base), len(next))
 	prefix := 0
@@ -20,8 +20,9 @@
 	}
 }
 
-// ApplyDelta rebuilds a record from its base. ok is false when the delta does
-// not fit the base; the digest tells whether the result is right.
+// ApplyDelta rebuilds a record from its base. ok is false when the base is shorter
+// than the delta's prefix and suffix. It does not detect a wrong base of sufficient
+// length, so the caller must check the result's digest.
 func ApplyDelta(base []byte, d *pb.ConfigDelta) (next []byte, ok bool) {
 	prefix, suffix := int(d.Prefix), int(d.Suffix)
 	if prefix+suffix > len(base) {
--- a/internal/core/configstate/evidence.go
+++ b/internal/core/configstate/evidence.go
@@ -9,9 +9,11 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// evidenceContext separates these signatures from any other use of the key.
+// evidenceContext is a domain separator: a signature made with the key for another
+// purpose is not valid here.
 const evidenceContext = "sesamefork configuration"
 
+// evidenceBytes returns the bytes that Sign signs.
 func evidenceBytes(s *pb.ConfigStamp) []byte {
 	b := []byte(evidenceContext)
 	b = binary.BigEndian.AppendUint64(b, s.Generation)
@@ -19,13 +21,13 @@
 	return append(b, s.Digest...)
 }
 
-// Sign returns the commit evidence of a configuration. A control replica signs
-// only what it has applied, so only what is durable on a majority.
+// Sign returns the signature that proves a configuration committed. A control replica
+// must sign only configurations that it has applied, which are durable on a majority.
 func Sign(key ed25519.PrivateKey, s *pb.ConfigStamp) []byte {
 	return ed25519.Sign(key, evidenceBytes(s))
 }
 
-// Newer reports whether a is a later configuration than b.
+// Newer reports whether a is a later configuration than b: by generation, then by version.
 func Newer(a, b *pb.ConfigStamp) bool {
 	if a.GetGeneration() != b.GetGeneration() {
 		return a.GetGeneration() > b.GetGeneration()
@@ -38,12 +40,12 @@
 	Stamp  *pb.ConfigStamp
 	Raw    []byte
 	Record *Record
-	Blob   *pb.ConfigBlob // whole record with its evidence, to pass on
+	Blob   *pb.ConfigBlob // complete record with its signature, to send to other hosts
 }
 
-// Install checks a received configuration and returns what to put in force. It
-// refuses anything that is not newer than current, that is not whole, or that
-// the control group did not sign.
+// Install verifies a received configuration and returns it ready for use. It rejects a
+// configuration that is not newer than current, does not match its digest, is not signed
+// by the control group, or has an invalid record. A nil current accepts any version.
 func Install(current *Installed, blob *pb.ConfigBlob, key ed25519.PublicKey) (*Installed, error) {
 	var have *pb.ConfigStamp
 	var base []byte
@@ -58,12 +60,12 @@
 	if d := blob.Delta; d != nil {
 		next, ok := ApplyDelta(base, d)
 		if !ok {
-			return nil, failure.New(failure.EvidenceInvalid, "", "the delta does not fit version %d", have.GetVersion())
+			return nil, failure.New(failure.EvidenceInvalid, "", "delta cannot be applied to base version %d", have.GetVersion())
 		}
 		raw = next
 	}
 	if !bytes.Equal(Digest(raw), blob.Stamp.Digest) {
-		return nil, failure.New(failure.EvidenceInvalid, "", "version %d does not have its digest", blob.Stamp.Version)
+		return nil, failure.New(failure.EvidenceInvalid, "", "record of version %d does not match its digest", blob.Stamp.Version)
 	}
 	if !ed25519.Verify(key, evidenceBytes(blob.Stamp), blob.Signature) {
 		return nil, failure.New(failure.EvidenceInvalid, "", "version %d is not signed by the control group", blob.Stamp.Version)
@@ -76,9 +78,9 @@
 	return &Installed{Stamp: blob.Stamp, Raw: raw, Record: record, Blob: whole}, nil
 }
 
-// Reply returns what a host that has version have is sent: a delta when the
-// base is known and in the same generation, else the whole record; nil when it
-// is not behind.
+// Reply returns the configuration to send to a host that has the given generation and
+// version: a delta when base, that version's record, is available and of the same
+// generation, else the complete record. It returns nil when blob is not newer.
 func Reply(blob *pb.ConfigBlob, generation, version uint64, base []byte) *pb.ConfigBlob {
 	if blob == nil || !Newer(blob.Stamp, &pb.ConfigStamp{Generation: generation, Version: version}) {
 		return nil
--- a/internal/core/configstate/machine.go
+++ b/internal/core/configstate/machine.go
@@ -11,31 +11,31 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Retention of the state machine. A change ID older than the last
-// MaxResults changes is forgotten; its resend is then judged by its base version.
+// Retention limits of the state machine. After MaxResults later changes, the result of a
+// change ID is no longer kept, and a resent change is checked by its base version alone.
 const (
-	MaxResults = 4096 // answers kept for resent changes
-	MaxHistory = 1024 // accepted changes kept without their records
-	MaxRecords = 16   // accepted changes kept with their records
+	MaxResults = 4096 // results kept to answer resent changes
+	MaxHistory = 1024 // accepted changes kept, with or without their records
+	MaxRecords = 16   // latest accepted changes kept with their records
 )
 
-// Result is the answer to one proposed change.
+// Result is the result of one proposed change.
 type Result struct {
-	Version uint64       // accepted version; 0 when refused
-	Current uint64       // version in force after the change was judged
+	Version uint64       // accepted version; 0 when rejected
+	Current uint64       // current version after the change was applied or rejected
 	Code    failure.Code // empty when accepted
 	Detail  string
 }
 
-// Machine is the replicated state machine. Equal sequences of Apply calls give
-// equal machines on every replica.
+// Machine is the replicated state machine of the configuration. It is deterministic: equal
+// sequences of Apply calls result in equal states on every replica.
 type Machine struct {
 	log     *pb.ChangeLog
 	results map[string]*pb.ChangeResult
 	record  *Record
 }
 
-// NewMachine returns an empty machine: version 0, no record.
+// NewMachine returns a machine at version 0 without a record.
 func NewMachine(generation uint64) *Machine {
 	return &Machine{
 		log:     &pb.ChangeLog{Generation: generation},
@@ -43,7 +43,7 @@
 	}
 }
 
-// Restore replaces the machine's state by a snapshot made by Snapshot.
+// Restore replaces the machine's state with one that Snapshot returned.
 func (m *Machine) Restore(data []byte) error {
 	log := new(pb.ChangeLog)
 	if err := proto.Unmarshal(data, log); err != nil {
@@ -61,11 +61,11 @@
 	return nil
 }
 
-// Snapshot returns the machine's whole state.
+// Snapshot returns the encoded state of the machine.
 func (m *Machine) Snapshot() []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.log)
 	if err != nil {
-		panic(err) // a generated message without required fields always marshals
+		panic(err) // cannot happen: the message type has no required fields
 	}
 	return data
 }
@@ -73,7 +73,7 @@
 // Generation returns the generation of the control group.
 func (m *Machine) Generation() uint64 { return m.log.Generation }
 
-// Version returns the accepted version.
+// Version returns the version of the last accepted change.
 func (m *Machine) Version() uint64 { return m.log.Version }
 
 // Last returns the newest accepted change, or nil.
@@ -84,13 +84,13 @@
 	return nil
 }
 
-// Record returns the accepted record, or nil before the first.
+// Record returns the last accepted record, or nil if there is none.
 func (m *Machine) Record() *Record { return m.record }
 
-// History returns the accepted changes kept, oldest first.
+// History returns the retained accepted changes, oldest first.
 func (m *Machine) History() []*pb.Accepted { return m.log.Accepted }
 
-// At returns the accepted change with the version when it is still kept.
+// At returns the accepted change with the version, or nil if it is not retained.
 func (m *Machine) At(version uint64) *pb.Accepted {
 	for _, a := range m.log.Accepted {
 		if a.Version == version {
@@ -103,8 +103,8 @@
 // OrderCounter returns the highest reserved order number.
 func (m *Machine) OrderCounter() uint64 { return m.log.OrderCounter }
 
-// Apply judges one committed command. It never fails: a refused change leaves
-// the record as it is. A change ID that was answered before gets that answer.
+// Apply applies one committed command. A rejected change leaves the state unchanged, apart
+// from its retained result. A change ID with a retained result gets that result again.
 func (m *Machine) Apply(c *pb.Command) Result {
 	if c.OrderCounter > 0 {
 		m.log.OrderCounter = max(m.log.OrderCounter, c.OrderCounter)
@@ -116,26 +116,26 @@
 	case c.Restore != "":
 		return m.setEvacuated(c.Restore, false)
 	case c.Quarantine != nil:
-		return m.keepQuarantine(c.Quarantine, false, c.TimeMs)
+		return m.applyQuarantine(c.Quarantine, false, c.TimeMs)
 	case c.Lift != nil:
-		return m.keepQuarantine(c.Lift, true, c.TimeMs)
+		return m.applyQuarantine(c.Lift, true, c.TimeMs)
 	case c.DeclaredVersion > 0:
 		return m.applyDeclared(c)
 	}
 	if prev, ok := m.results[c.ChangeId]; ok {
-		return m.replay(prev, c)
+		return m.repeatResult(prev, c)
 	}
 	res, record := m.judge(c)
 	if res.Code == "" {
 		m.accept(c, res.Version, record)
 	}
-	m.remember(c, res)
+	m.storeResult(c, res)
 	return res
 }
 
-// applyDeclared takes a record that states its own version. The highest version
-// is in force: one that is not higher is acknowledged and changes nothing, also
-// when its content differs.
+// applyDeclared applies a record that declares its own version. The highest version wins: a
+// command with a version that is not higher is acknowledged and ignored, even if its content
+// differs.
 func (m *Machine) applyDeclared(c *pb.Command) Result {
 	if c.DeclaredVersion <= m.log.Version {
 		return Result{Version: c.DeclaredVersion, Current: m.log.Version}
@@ -148,12 +148,11 @@
 	return Result{Version: c.DeclaredVersion, Current: c.DeclaredVersion}
 }
 
-// setEvacuated marks or unmarks a failure domain as evacuated. Repeating an order
-// changes nothing.
+// setEvacuated marks or unmarks a failure domain as evacuated. It is idempotent.
 func (m *Machine) setEvacuated(domain string, evacuated bool) Result {
 	at, found := slices.BinarySearch(m.log.Evacuated, domain)
 	if found != evacuated {
-		next := slices.Clone(m.log.Evacuated) // readers may hold the old list
+		next := slices.Clone(m.log.Evacuated) // readers may still use the old slice
 		if evacuated {
 			next = slices.Insert(next, at, domain)
 		} else {
@@ -166,13 +165,14 @@
 }
 
 // Evacuated returns the evacuated failure domains, sorted, and the revision of
-// that list. The list must not be changed.
+// that list. The caller must not modify the list.
 func (m *Machine) Evacuated() (domains []string, revision uint64) {
 	return m.log.Evacuated, m.log.EvacuationRevision
 }
 
-// replay answers a resent change with its first answer.
-func (m *Machine) replay(prev *pb.ChangeResult, c *pb.Command) Result {
+// repeatResult returns the retained result of a resent change. It rejects a change that reuses
+// the ID of a different change.
+func (m *Machine) repeatResult(prev *pb.ChangeResult, c *pb.Command) Result {
 	if !bytes.Equal(prev.Digest, commandDigest(c)) {
 		return Result{
 			Current: m.log.Version, Code: failure.ChangeIDReused,
@@ -185,6 +185,8 @@
 	}
 }
 
+// judge checks a change against the current version and record, and returns its result and the
+// parsed record.
 func (m *Machine) judge(c *pb.Command) (Result, *Record) {
 	current := m.log.Version
 	if c.BaseVersion != current {
@@ -205,6 +207,7 @@
 	return Result{Version: current + 1, Current: current + 1}, next
 }
 
+// accept makes the record current and trims the history to its retention limits.
 func (m *Machine) accept(c *pb.Command, version uint64, record *Record) {
 	m.log.Version = version
 	m.record = record
@@ -215,7 +218,7 @@
 	})
 	if n := len(m.log.Accepted); n > MaxRecords {
 		old := m.log.Accepted[n-MaxRecords-1]
-		// The entry is replaced, not changed: readers may hold the old one.
+		// The entry is replaced rather than modified, as readers may still use the old one.
 		m.log.Accepted[n-MaxRecords-1] = &pb.Accepted{
 			Version: old.Version, SchemaVersion: old.SchemaVersion, Operator: old.Operator,
 			Reason: old.Reason, TimeMs: old.TimeMs, ChangeId: old.ChangeId, Digest: old.Digest,
@@ -226,7 +229,8 @@
 	}
 }
 
-func (m *Machine) remember(c *pb.Command, res Result) {
+// storeResult keeps a change's result for resends and drops the oldest one beyond MaxResults.
+func (m *Machine) storeResult(c *pb.Command, res Result) {
 	r := &pb.ChangeResult{
 		ChangeId: c.ChangeId, Version: res.Version, Code: string(res.Code),
 		CurrentVersion: res.Current, Detail: res.Detail, Digest: commandDigest(c),
@@ -239,7 +243,7 @@
 	}
 }
 
-// commandDigest identifies what a change asks for.
+// commandDigest returns the digest of a change's base version and record.
 func commandDigest(c *pb.Command) []byte {
 	return Digest(append([]byte(fmt.Sprintf("%d\x00", c.BaseVersion)), c.Record...))
 }
--- a/internal/core/configstate/quarantine.go
+++ b/internal/core/configstate/quarantine.go
@@ -7,10 +7,10 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// MaxQuarantined bounds the verdicts that the log keeps; the oldest yields.
+// MaxQuarantined bounds the verdicts kept in the log; beyond it the oldest are dropped.
 const MaxQuarantined = 1024
 
-// KeptByFingerprint returns the records of kept verdicts by their fingerprints.
+// KeptByFingerprint returns the records of the kept verdicts, indexed by fingerprint.
 func KeptByFingerprint(kept []*pb.KeptQuarantine) map[string]*pb.QuarantineRecord {
 	out := make(map[string]*pb.QuarantineRecord, len(kept))
 	for _, k := range kept {
@@ -19,22 +19,24 @@
 	return out
 }
 
-// MustKeep reports whether a record has to take the place of what is kept of its fingerprint:
-// a verdict that is new, one that rests on more ends, or the end of one.
-func MustKeep(m, kept *pb.QuarantineRecord) bool {
-	ends := countedEnds(m)
+// MustKeep reports whether a record must replace the kept one of its fingerprint, nil for none. It
+// must if it is a first verdict, was cleared more often, or has a different crash count and at least
+// as many server processes.
+func MustKeep(r, kept *pb.QuarantineRecord) bool {
+	crashes := crashCount(r)
 	switch {
 	case kept == nil:
-		return ends >= quarantine.Crashes
-	case m.Cleared != kept.Cleared:
-		return m.Cleared > kept.Cleared
+		return crashes >= quarantine.Crashes
+	case r.Cleared != kept.Cleared:
+		return r.Cleared > kept.Cleared
 	}
-	return ends != countedEnds(kept) && len(m.Server) >= len(kept.Server)
+	return crashes != crashCount(kept) && len(r.Server) >= len(kept.Server)
 }
 
-func countedEnds(m *pb.QuarantineRecord) int {
-	n := len(m.Server)
-	for _, alive := range m.Alive {
+// crashCount returns the number of processes in a record that are not known to be alive.
+func crashCount(r *pb.QuarantineRecord) int {
+	n := len(r.Server)
+	for _, alive := range r.Alive {
 		if alive {
 			n--
 		}
@@ -42,16 +44,16 @@
 	return n
 }
 
-// keepQuarantine puts a verdict, or the end of one, in the place of what is kept of its
-// fingerprint. The list is replaced, not changed: readers may hold it.
-func (m *Machine) keepQuarantine(r *pb.QuarantineRecord, lift bool, timeMS int64) Result {
+// applyQuarantine replaces the kept record of a fingerprint by a new verdict or, with lift, by an
+// operator's clearing. The list is replaced rather than modified, as readers may still use it.
+func (m *Machine) applyQuarantine(r *pb.QuarantineRecord, lift bool, timeMS int64) Result {
 	unchanged := Result{Version: m.log.Version, Current: m.log.Version}
 	at := slices.IndexFunc(m.log.Quarantined, func(k *pb.KeptQuarantine) bool { return slices.Equal(k.Record.Fingerprint, r.Fingerprint) })
 	var kept *pb.QuarantineRecord
 	if at >= 0 {
 		kept = m.log.Quarantined[at].Record
 	}
-	// An operator may lift what is only suspected, of which nothing is kept.
+	// An operator may also clear a suspicion, for which no record is kept.
 	if !MustKeep(r, kept) && !(lift && kept == nil) {
 		return unchanged
 	}
@@ -69,7 +71,7 @@
 }
 
 // Quarantined returns the kept verdicts, oldest first, and the revision of that list. The
-// list must not be changed.
+// caller must not modify the list.
 func (m *Machine) Quarantined() (kept []*pb.KeptQuarantine, revision uint64) {
 	return m.log.Quarantined, m.log.QuarantineRevision
 }
--- a/internal/core/configstate/quarantine_test.go
+++ b/internal/core/configstate/quarantine_test.go
@@ -47,7 +47,7 @@
 				switch {
 				case c.ends < 0 && kept != nil:
 					t.Errorf("kept: %v", kept)
-				case c.ends >= 0 && (kept == nil || countedEnds(kept) != c.ends || kept.Cleared != c.cleared):
+				case c.ends >= 0 && (kept == nil || crashCount(kept) != c.ends || kept.Cleared != c.cleared):
 					t.Errorf("kept: %v, want %d ends, cleared %d", kept, c.ends, c.cleared)
 				}
 			}
--- a/internal/core/configstate/routes.go
+++ b/internal/core/configstate/routes.go
@@ -117,17 +117,17 @@
 		sum += t.Weight
 	}
 	point *= sum
-	last := ""
+	service := ""
 	for _, t := range r.Targets {
 		if t.Weight <= 0 {
 			continue
 		}
-		last = t.Service
+		service = t.Service
 		if point -= t.Weight; point < 0 {
 			return t.Service
 		}
 	}
-	return last
+	return service
 }
 
 // RouteFor returns the route of a request: of the routes with its host, the one
@@ -191,22 +191,22 @@
 	for i, s := range r.RoutedServices {
 		field := fmt.Sprintf("routed_services[%d]", i)
 		if s.Name == "" || services[s.Name] {
-			v.fail(field+".name", "%q is empty or used twice", s.Name)
+			v.addError(field+".name", "%q is empty or used twice", s.Name)
 		}
 		services[s.Name] = true
 		if s.ColdPerSecond < 0 {
-			v.fail(field+".cold_per_second", "%v is negative", s.ColdPerSecond)
+			v.addError(field+".cold_per_second", "%v is negative", s.ColdPerSecond)
 		}
 	}
-	type place struct{ host, prefix string }
-	taken := map[place]string{}
+	type hostAndPrefix struct{ host, prefix string }
+	taken := map[hostAndPrefix]string{}
 	for i := range r.Routes {
 		route := &r.Routes[i]
 		field := fmt.Sprintf("routes[%d]", i)
 		v.checkRoute(field, route, services)
-		at := place{route.Host, route.PathPrefix}
+		at := hostAndPrefix{route.Host, route.PathPrefix}
 		if other, ok := taken[at]; ok {
-			v.fail(field+".path_prefix", "route %q has the same host and prefix", other)
+			v.addError(field+".path_prefix", "route %q has the same host and prefix", other)
 		}
 		taken[at] = route.Name
 	}
@@ -214,28 +214,28 @@
 
 func (v *validator) checkRoute(field string, route *Route, services map[string]bool) {
 	if !slices.Contains([]RouteKind{KindReadOnly, KindNonIdempotent, KindStream}, route.Kind) {
-		v.fail(field+".kind", "%q is not one of read_only, non_idempotent, stream", route.Kind)
+		v.addError(field+".kind", "%q is not one of read_only, non_idempotent, stream", route.Kind)
 	}
 	if !strings.HasPrefix(route.PathPrefix, "/") || !strings.HasSuffix(route.PathPrefix, "/") {
-		v.fail(field+".path_prefix", "%q does not begin and end with a slash", route.PathPrefix)
+		v.addError(field+".path_prefix", "%q does not begin and end with a slash", route.PathPrefix)
 	}
 	if route.TimeoutMS <= 0 {
-		v.fail(field+".timeout_ms", "%d is not positive", route.TimeoutMS)
+		v.addError(field+".timeout_ms", "%d is not positive", route.TimeoutMS)
 	}
 	if route.Attempts < 1 {
-		v.fail(field+".attempts", "%d is below 1", route.Attempts)
+		v.addError(field+".attempts", "%d is below 1", route.Attempts)
 	}
 	sum := 0.0
 	for j, t := range route.Targets {
 		if !services[t.Service] {
-			v.fail(fmt.Sprintf("%s.targets[%d].service", field, j), "%q is not in routed_services", t.Service)
+			v.addError(fmt.Sprintf("%s.targets[%d].service", field, j), "%q is not in routed_services", t.Service)
 		}
 		if t.Weight < 0 {
-			v.fail(fmt.Sprintf("%s.targets[%d].weight", field, j), "%v is negative", t.Weight)
+			v.addError(fmt.Sprintf("%s.targets[%d].weight", field, j), "%v is negative", t.Weight)
 		}
 		sum += t.Weight
 	}
 	if sum <= 0 {
-		v.fail(field+".targets", "the weights add up to %v", sum)
+		v.addError(field+".targets", "the weights add up to %v", sum)
 	}
 }
--- a/internal/core/configstate/teams.go
+++ b/internal/core/configstate/teams.go
@@ -7,24 +7,26 @@
 	"slices"
 )
 
-// Units in which quotas count.
+// Units of quotas.
 const (
 	UnitRequests = "requests"
-	UnitTokens   = "tokens" // of prompts, and the most that may be generated
+	UnitTokens   = "tokens" // prompt tokens plus the maximum number of generated tokens
 )
 
-// Quota bounds what all entry hosts together send of a team's requests.
+// Quota limits the rate at which all entry hosts together send a team's requests to servers.
 type Quota struct {
 	// Unit is "requests" or "tokens".
 	Unit string `json:"unit"`
-	// PerSecond and Burst are in units: over any time t, in s, PerSecond*t + Burst may be sent.
+	// PerSecond and Burst are the rate and the bucket size of a token bucket, in units: in any
+	// period of t seconds at most PerSecond*t + Burst may be sent.
 	PerSecond float64 `json:"per_second"`
 	Burst     float64 `json:"burst"`
-	// PlainTokens is what a request counts that states no tokens, with unit "tokens".
+	// PlainTokens is the cost of a request that states no token count, with unit "tokens".
 	PlainTokens float64 `json:"plain_tokens,omitempty"`
 }
 
-// Cost returns the units of a request. tokens is what it states; below 0 for nothing.
+// Cost returns the cost of a request in units. tokens is its stated token count, negative if
+// it states none.
 func (q *Quota) Cost(tokens float64) float64 {
 	switch {
 	case q.Unit != UnitTokens:
@@ -35,24 +37,25 @@
 	return tokens
 }
 
-// KeyHash returns the hash by which a record knows a key.
+// KeyHash returns the hash that stands for a key in a record: SHA-256 in hex.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// TeamByKey returns the team that holds the key with the hash.
+// TeamByKey returns the team with the key hash.
 func (r *Record) TeamByKey(hash string) (*Team, bool) {
 	t, ok := r.teamsByKey[hash]
 	return t, ok
 }
 
-// Permits reports whether servers of the region may run the team's requests on routes. A
-// request of no team may run anywhere.
+// Permits reports whether servers of the region may run the team's requests on routes. For a nil
+// team, a request without a team, every region is permitted.
 func (t *Team) Permits(region string) bool {
 	return t == nil || len(t.Homes) == 0 || slices.Contains(t.Homes, region)
 }
 
+// indexTeams indexes the teams by their key hashes.
 func (r *Record) indexTeams() {
 	r.teamsByKey = map[string]*Team{}
 	for i := range r.Teams {
@@ -67,7 +70,7 @@
 		return
 	}
 	if q.Unit != UnitRequests && q.Unit != UnitTokens {
-		v.fail(field+".unit", "%q is not one of requests, tokens", q.Unit)
+		v.addError(field+".unit", "%q is not one of requests, tokens", q.Unit)
 	}
 	v.checkRange(field+".per_second", q.PerSecond, math.SmallestNonzeroFloat64, math.MaxFloat64)
 	v.checkRange(field+".burst", q.Burst, 0, math.MaxFloat64)
--- a/internal/core/configstate/validate.go
+++ b/internal/core/configstate/validate.go
@@ -17,7 +17,7 @@
 	regions map[string]Region
 }
 
-func (v *validator) fail(field, format string, args ...any) {
+func (v *validator) addError(field, format string, args ...any) {
 	v.errs = append(v.errs, FieldError{field, fmt.Sprintf(format, args...)})
 }
 
@@ -36,21 +36,21 @@
 
 func (v *validator) checkRegions(r *Record) {
 	if len(r.Regions) == 0 {
-		v.fail("regions", "at least one region is needed")
+		v.addError("regions", "at least one region is needed")
 	}
 	domains := map[string]bool{}
 	for i, reg := range r.Regions {
 		field := fmt.Sprintf("regions[%d]", i)
 		if _, dup := v.regions[reg.Name]; dup || reg.Name == "" {
-			v.fail(field+".name", "%q is empty or used twice", reg.Name)
+			v.addError(field+".name", "%q is empty or used twice", reg.Name)
 		}
 		v.regions[reg.Name] = reg
 		if len(reg.FailureDomains) == 0 {
-			v.fail(field+".failure_domains", "at least one failure domain is needed")
+			v.addError(field+".failure_domains", "at least one failure domain is needed")
 		}
 		for _, d := range reg.FailureDomains {
 			if domains[d] || d == "" {
-				v.fail(field+".failure_domains", "%q is empty or used twice", d)
+				v.addError(field+".failure_domains", "%q is empty or used twice", d)
 			}
 			domains[d] = true
 		}
@@ -63,31 +63,31 @@
 	for i, h := range r.Hosts {
 		field := fmt.Sprintf("hosts[%d]", i)
 		if h.ID == "" || seen[h.ID] {
-			v.fail(field+".id", "%q is empty or used twice", h.ID)
+			v.addError(field+".id", "%q is empty or used twice", h.ID)
 		}
 		seen[h.ID] = true
 		inRegion[h.Region]++
 		reg, ok := v.regions[h.Region]
 		if !ok {
-			v.fail(field+".region", "%q is not a region; known: %s", h.Region, v.known())
+			v.addError(field+".region", "%q is not a region; known: %s", h.Region, v.knownRegions())
 		} else if !slices.Contains(reg.FailureDomains, h.FailureDomain) {
-			v.fail(field+".failure_domain", "%q is not in region %q", h.FailureDomain, h.Region)
+			v.addError(field+".failure_domain", "%q is not in region %q", h.FailureDomain, h.Region)
 		}
 		if _, err := netip.ParseAddrPort(h.Peer); err != nil {
-			v.fail(field+".peer", "%q is not an IP address with a port", h.Peer)
+			v.addError(field+".peer", "%q is not an IP address with a port", h.Peer)
 		}
 		if u, err := url.Parse(h.Caller); err != nil || u.Host == "" {
-			v.fail(field+".caller", "%q is not a base URL such as http://127.0.0.1:8080", h.Caller)
+			v.addError(field+".caller", "%q is not a base URL such as http://127.0.0.1:8080", h.Caller)
 		}
 	}
 	for _, reg := range r.Regions {
 		if inRegion[reg.Name] == 0 && !r.OpenOperators {
-			v.fail("hosts", "region %q has no entry host", reg.Name)
+			v.addError("hosts", "region %q has no entry host", reg.Name)
 		}
 	}
 }
 
-func (v *validator) known() string {
+func (v *validator) knownRegions() string {
 	names := make([]string, 0, len(v.regions))
 	for n := range v.regions {
 		names = append(names, n)
@@ -99,7 +99,7 @@
 func (v *validator) checkRegionList(field string, regions []string) {
 	for _, name := range regions {
 		if _, ok := v.regions[name]; !ok {
-			v.fail(field, "%q is not a region; known: %s", name, v.known())
+			v.addError(field, "%q is not a region; known: %s", name, v.knownRegions())
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	for i, m := range r.Models {
 		field := fmt.Sprintf("models[%d]", i)
 		if m.Name == "" || seen["model "+m.Name] {
-			v.fail(field+".name", "%q is empty or used twice", m.Name)
+			v.addError(field+".name", "%q is empty or used twice", m.Name)
 		}
 		seen["model "+m.Name] = true
 		v.checkRegionList(field+".regions", m.Regions)
@@ -117,7 +117,7 @@
 	for i, s := range r.Services {
 		field := fmt.Sprintf("services[%d]", i)
 		if s.Name == "" || seen["service "+s.Name] {
-			v.fail(field+".name", "%q is empty or used twice", s.Name)
+			v.addError(field+".name", "%q is empty or used twice", s.Name)
 		}
 		seen["service "+s.Name] = true
 		v.checkRegionList(field+".regions", s.Regions)
@@ -128,10 +128,10 @@
 func (v *validator) checkKeyHashes(field, owner string, hashes []string, seen map[string]string) {
 	for _, h := range hashes {
 		if len(h) != keyHashLength || strings.Trim(h, "0123456789abcdef") != "" {
-			v.fail(field, "%.8q… is not a SHA-256 hash in lower-case hex", h)
+			v.addError(field, "%.8q… is not a SHA-256 hash in lower-case hex", h)
 		}
 		if other, used := seen[h]; used {
-			v.fail(field, "the hash %.8s… is used twice, by %q and %q", h, other, owner)
+			v.addError(field, "the hash %.8s… is used twice, by %q and %q", h, other, owner)
 		}
 		seen[h] = owner
 	}
@@ -143,7 +143,7 @@
 	for i, t := range r.Teams {
 		field := fmt.Sprintf("teams[%d]", i)
 		if t.Name == "" || names[t.Name] {
-			v.fail(field+".name", "%q is empty or used twice", t.Name)
+			v.addError(field+".name", "%q is empty or used twice", t.Name)
 		}
 		names[t.Name] = true
 		if t.Home != "" || !r.OpenOperators {
@@ -152,19 +152,19 @@
 		v.checkKeyHashes(field+".key_hashes", t.Name, t.KeyHashes, hashes)
 		v.checkQuota(field+".quota", t.Quota)
 		if t.Weight < 0 || t.Weight > 1000 {
-			v.fail(field+".weight", "%v is not between 0 and 1000", t.Weight)
+			v.addError(field+".weight", "%v is not between 0 and 1000", t.Weight)
 		}
 		if _, ok := r.Rule(t.Kind); !ok && len(r.Residency) > 0 {
-			v.fail(field+".kind", "%q has no residency rule", t.Kind)
+			v.addError(field+".kind", "%q has no residency rule", t.Kind)
 		}
 		for _, m := range t.Models {
 			if _, ok := r.Model(m); !ok {
-				v.fail(field+".models", "%q is not a model", m)
+				v.addError(field+".models", "%q is not a model", m)
 			}
 		}
 		for _, s := range t.Services {
 			if _, ok := r.Service(s); !ok {
-				v.fail(field+".services", "%q is not a service", s)
+				v.addError(field+".services", "%q is not a service", s)
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 	for i, rule := range r.Residency {
 		field := fmt.Sprintf("residency[%d]", i)
 		if rule.Kind == "" || kinds[rule.Kind] {
-			v.fail(field+".kind", "%q is empty or used twice", rule.Kind)
+			v.addError(field+".kind", "%q is empty or used twice", rule.Kind)
 		}
 		kinds[rule.Kind] = true
 		v.checkRegionList(field+".regions", rule.Regions)
@@ -191,28 +191,28 @@
 			continue
 		}
 		for _, m := range r.Models {
-			if usable(t.Models, m.Name) && !v.anyRegion(r, rule, m.Regions, t.Home) {
-				v.fail(field, "kind %q of team %q leaves no region for model %q", rule.Kind, t.Name, m.Name)
+			if emptyOrContains(t.Models, m.Name) && !v.hasPermittedRegion(r, rule, m.Regions, t.Home) {
+				v.addError(field, "kind %q of team %q leaves no region for model %q", rule.Kind, t.Name, m.Name)
 			}
 		}
 		for _, s := range r.Services {
-			if usable(t.Services, s.Name) && !v.anyRegion(r, rule, s.Regions, t.Home) {
-				v.fail(field, "kind %q of team %q leaves no region for service %q", rule.Kind, t.Name, s.Name)
+			if emptyOrContains(t.Services, s.Name) && !v.hasPermittedRegion(r, rule, s.Regions, t.Home) {
+				v.addError(field, "kind %q of team %q leaves no region for service %q", rule.Kind, t.Name, s.Name)
 			}
 		}
 	}
 }
 
-func usable(list []string, name string) bool {
+func emptyOrContains(list []string, name string) bool {
 	return len(list) == 0 || slices.Contains(list, name)
 }
 
-func (v *validator) anyRegion(r *Record, rule ResidencyRule, target []string, home string) bool {
+func (v *validator) hasPermittedRegion(r *Record, rule ResidencyRule, target []string, home string) bool {
 	for _, reg := range r.Regions {
 		if rule.HomeOnly && reg.Name != home {
 			continue
 		}
-		if usable(rule.Regions, reg.Name) && usable(target, reg.Name) {
+		if emptyOrContains(rule.Regions, reg.Name) && emptyOrContains(target, reg.Name) {
 			return true
 		}
 	}
@@ -222,7 +222,7 @@
 func (v *validator) checkPolicy(r *Record) {
 	p := r.Policy
 	if _, ok := Presets[p.Preset]; !ok {
-		v.fail("policy.preset", "%q is not one of archive, balanced, railhalt", p.Preset)
+		v.addError("policy.preset", "%q is not one of archive, balanced, railhalt", p.Preset)
 	}
 	v.checkRange("policy.send_away_price_ms", p.SendAwayPriceMS, 0, 600_000)
 	v.checkRange("policy.send_away_margin", p.SendAwayMargin, 0, 1)
@@ -233,7 +233,7 @@
 	v.checkRange("policy.default_deadline_ms", float64(p.DefaultDeadlineMS), 100, 3_600_000)
 	v.checkRange("policy.max_queue_per_slot", p.MaxQueuePerSlot, 0, 100)
 	if r.Ledger.Replicas != 3 && r.Ledger.Replicas != 5 {
-		v.fail("ledger.replicas", "%d is not 3 or 5", r.Ledger.Replicas)
+		v.addError("ledger.replicas", "%d is not 3 or 5", r.Ledger.Replicas)
 	}
 	v.checkRange("ledger.retention_ms", float64(r.Ledger.RetentionMS), 1000, 86_400_000)
 	v.checkRange("ledger.max_keys", float64(r.Ledger.MaxKeys), 1, 10_000_000)
@@ -243,7 +243,7 @@
 
 func (v *validator) checkRange(field string, value, low, high float64) {
 	if value < low || value > high {
-		v.fail(field, "%v is not between %v and %v", value, low, high)
+		v.addError(field, "%v is not between %v and %v", value, low, high)
 	}
 }
 
@@ -257,7 +257,7 @@
 		}
 	}
 	if writers == 0 && !r.OpenOperators {
-		v.fail("operators", "at least one operator needs a key and no read_only, or nobody could change the record again")
+		v.addError("operators", "at least one operator needs a key and no read_only, or nobody could change the record again")
 	}
 }
 
@@ -269,13 +269,13 @@
 		before := hostIDs(old.RegionHosts(reg.Name))
 		after := hostIDs(next.RegionHosts(reg.Name))
 		if len(before) > 0 && len(after) > 0 && !slices.Equal(before, after) {
-			v.fail("hosts", "region %q: the set of host IDs is the ledger's replica set and cannot change while it runs "+
+			v.addError("hosts", "region %q: the set of host IDs is the ledger's replica set and cannot change while it runs "+
 				"(%s to %s); give a replacement machine the ID of the lost one", reg.Name,
 				strings.Join(before, ","), strings.Join(after, ","))
 		}
 	}
 	if old.Ledger.Replicas != next.Ledger.Replicas {
-		v.fail("ledger.replicas", "cannot change while the ledger runs")
+		v.addError("ledger.replicas", "cannot change while the ledger runs")
 	}
 	return v.errs
 }
