--- a/internal/core/configstate/bench_test.go
+++ b/internal/core/configstate/bench_test.go
@@ -12,8 +12,8 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// generatedRecord returns a record with so many teams and hosts, over 8 regions with
-// 26 failure domains and 11 models.
+// generatedRecord returns a record with the given numbers of teams and entry hosts, over 8
+// regions with 26 failure domains, and 11 models. Records with different notes differ in content.
 func generatedRecord(teams, hosts int, note string) []byte {
 	m := map[string]any{"schema_version": 2, "note": note, "operators": []any{map[string]any{"name": "o", "key_hashes": []string{hexDigest("op")}}}}
 	var regions, hostList, teamList, models []any
@@ -50,6 +50,7 @@
 	return data
 }
 
+// hexDigest returns the SHA-256 hash of a string in hex.
 func hexDigest(s string) string {
 	d := sha256.Sum256([]byte(s))
 	return hex.EncodeToString(d[:])
@@ -57,8 +58,8 @@
 
 var benchSigningKey = ed25519.NewKeyFromSeed(bytes.Repeat([]byte{7}, ed25519.SeedSize))
 
-// BenchmarkInstall is what one accepted change costs a node: delta, digest,
-// signature, parse and validation, by number of teams.
+// BenchmarkInstall measures the cost of one accepted change on an entry host (delta, digest,
+// signature, parsing and validation) by number of teams.
 func BenchmarkInstall(b *testing.B) {
 	for _, teams := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
@@ -84,7 +85,7 @@
 	}
 }
 
-// BenchmarkAccept is what one change costs a control replica's state machine.
+// BenchmarkAccept measures the cost of one change in a control replica's state machine.
 func BenchmarkAccept(b *testing.B) {
 	for _, teams := range []int{20, 2000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
--- a/internal/core/configstate/compress.go
+++ b/internal/core/configstate/compress.go
@@ -48,7 +48,7 @@
 	return out.Bytes(), nil
 }
 
-// limitedReader fails when more than left bytes are read.
+// limitedReader returns an error when more than remaining bytes are read from r.
 type limitedReader struct {
 	r         *gzip.Reader
 	remaining int
--- a/internal/core/configstate/configstate_test.go
+++ b/internal/core/configstate/configstate_test.go
@@ -15,7 +15,7 @@
 
 var keyHash = strings.Repeat("ab", 32)
 
-// validRecord is a valid record as a map that tests change.
+// validRecord returns a valid record as a map for tests to modify.
 func validRecord() map[string]any {
 	var m map[string]any
 	text := fmt.Sprintf(`{"schema_version":2,"regions":[{"name":"a","failure_domains":["a1","a2"]},{"name":"b","failure_domains":["b1"]}],
@@ -29,6 +29,7 @@
 	return m
 }
 
+// listItem returns element i of one of the record's lists.
 func listItem(m map[string]any, list string, i int) map[string]any {
 	return m[list].([]any)[i].(map[string]any)
 }
@@ -41,9 +42,9 @@
 	return data
 }
 
-func TestRecordsThatAreRefused(t *testing.T) {
+func TestParseRejectsInvalidRecords(t *testing.T) {
 	if _, err := Parse(encode(validRecord())); err != nil {
-		t.Fatalf("the base record: %v", err)
+		t.Fatalf("validRecord is rejected: %v", err)
 	}
 	for _, c := range []struct {
 		name string
@@ -52,17 +53,17 @@
 	}{
 		{"unknown schema", func(m map[string]any) { m["schema_version"] = 9 }, "schema_version: 9 is not supported"},
 		{"region without entry hosts", func(m map[string]any) { m["hosts"] = m["hosts"].([]any)[:1] }, `region "b" has no entry host`},
-		{"kind that may go nowhere", func(m map[string]any) { listItem(m, "residency", 0)["regions"] = []string{"b"} }, `leaves no region for model "m"`},
-		{"home that is no region", func(m map[string]any) { listItem(m, "teams", 0)["home"] = "x" }, `teams[0].home: "x" is not a region`},
+		{"kind without a permitted region", func(m map[string]any) { listItem(m, "residency", 0)["regions"] = []string{"b"} }, `leaves no region for model "m"`},
+		{"home is not a region", func(m map[string]any) { listItem(m, "teams", 0)["home"] = "x" }, `teams[0].home: "x" is not a region`},
 		{"weight out of range", func(m map[string]any) { listItem(m, "teams", 0)["weight"] = -1 }, "teams[0].weight"},
 		{"ceiling out of range", func(m map[string]any) { m["policy"] = map[string]any{"send_away_ceiling": 2} }, "policy.send_away_ceiling"},
 		{"unknown preset", func(m map[string]any) { m["policy"] = map[string]any{"preset": "fast"} }, "is not one of archive"},
-		{"key that is no hash", func(m map[string]any) { listItem(m, "teams", 0)["key_hashes"] = []string{"secret"} }, "is not a SHA-256 hash"},
-		{"nobody may change it", func(m map[string]any) { m["operators"] = []any{} }, "nobody could change the record again"},
-		{"host in a foreign failure domain", func(m map[string]any) { listItem(m, "hosts", 0)["failure_domain"] = "b1" }, `"b1" is not in region "a"`},
-		{"host twice", func(m map[string]any) { listItem(m, "hosts", 1)["id"] = "h1" }, "used twice"},
-		{"two replicas", func(m map[string]any) { m["ledger"] = map[string]any{"replicas": 2} }, "ledger.replicas"},
-		{"not JSON of a record", func(m map[string]any) { m["regions"] = "x" }, "record:"},
+		{"key instead of its hash", func(m map[string]any) { listItem(m, "teams", 0)["key_hashes"] = []string{"secret"} }, "is not a SHA-256 hash"},
+		{"no operator with write access", func(m map[string]any) { m["operators"] = []any{} }, "nobody could change the record again"},
+		{"host in a failure domain of another region", func(m map[string]any) { listItem(m, "hosts", 0)["failure_domain"] = "b1" }, `"b1" is not in region "a"`},
+		{"duplicate host ID", func(m map[string]any) { listItem(m, "hosts", 1)["id"] = "h1" }, "used twice"},
+		{"unsupported number of replicas", func(m map[string]any) { m["ledger"] = map[string]any{"replicas": 2} }, "ledger.replicas"},
+		{"list with a wrong JSON type", func(m map[string]any) { m["regions"] = "x" }, "record:"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := validRecord()
@@ -84,10 +85,10 @@
 		t.Fatal(err)
 	}
 	if rule, _ := r.Rule("private"); !rule.HomeOnly {
-		t.Error("kind private of schema version 1 means the home only")
+		t.Error("HomeOnly is not set for kind private of schema version 1")
 	}
 	if rule, _ := r.Rule("k"); rule.HomeOnly {
-		t.Error("other kinds do not")
+		t.Error("HomeOnly is set for a kind other than private")
 	}
 }
 
@@ -104,13 +105,13 @@
 		version uint64
 		code    failure.Code
 	}{
-		{"first", command(0, "a", good), 1, ""},
-		{"resent", command(0, "a", good), 1, ""},
-		{"old base", command(0, "b", good), 0, failure.VersionConflict},
-		{"refusal resent after the base fits", command(0, "b", good), 0, failure.VersionConflict},
-		{"id used again", command(1, "a", good), 0, failure.ChangeIDReused},
-		{"invalid", command(1, "c", []byte("{}")), 0, failure.InvalidRecord},
-		{"second", command(1, "d", good), 2, ""},
+		{"first change", command(0, "a", good), 1, ""},
+		{"resent change", command(0, "a", good), 1, ""},
+		{"outdated base version", command(0, "b", good), 0, failure.VersionConflict},
+		{"resent rejected change, base version current now", command(0, "b", good), 0, failure.VersionConflict},
+		{"change ID reused", command(1, "a", good), 0, failure.ChangeIDReused},
+		{"invalid record", command(1, "c", []byte("{}")), 0, failure.InvalidRecord},
+		{"second change", command(1, "d", good), 2, ""},
 	}
 	for round := range 2 {
 		for _, s := range steps {
@@ -118,7 +119,7 @@
 				t.Errorf("round %d, %s: %+v, want version %d, %q", round, s.name, got, s.version, s.code)
 			}
 		}
-		// Every answer survives a snapshot.
+		// Results must be restored from a snapshot.
 		again := NewMachine(9)
 		if err := again.Restore(m.Snapshot()); err != nil {
 			t.Fatal(err)
@@ -126,11 +127,11 @@
 		m = again
 	}
 	if m.Version() != 2 || m.Generation() != 1 {
-		t.Errorf("version %d, generation %d", m.Version(), m.Generation())
+		t.Errorf("version %d, generation %d; want 2, 1", m.Version(), m.Generation())
 	}
 }
 
-func TestMachineStaysBounded(t *testing.T) {
+func TestMachineRetentionIsBounded(t *testing.T) {
 	m := NewMachine(1)
 	good := encode(validRecord())
 	for v := range uint64(MaxResults + 100) {
@@ -139,10 +140,10 @@
 		}
 	}
 	if len(m.results) > MaxResults || len(m.History()) > MaxHistory {
-		t.Errorf("%d answers, %d changes kept", len(m.results), len(m.History()))
+		t.Errorf("%d results and %d changes kept, limits exceeded", len(m.results), len(m.History()))
 	}
 	if limit := 2 << 20; len(m.Snapshot()) > limit {
-		t.Errorf("a snapshot of %d bytes", len(m.Snapshot()))
+		t.Errorf("snapshot has %d bytes, over the limit of 2 MiB", len(m.Snapshot()))
 	}
 }
 
@@ -152,12 +153,12 @@
 	next := validRecord()
 	listItem(next, "hosts", 0)["id"] = "h9"
 	if r := m.Apply(command(1, "b", encode(next))); r.Code != failure.InvalidRecord {
-		t.Errorf("a change of the host IDs of a region: %+v", r)
+		t.Errorf("changed host IDs of a region: %+v, want invalid-record", r)
 	}
 	replaced := validRecord()
 	listItem(replaced, "hosts", 0)["peer"] = "127.0.0.9:1"
 	if r := m.Apply(command(1, "c", encode(replaced))); r.Version != 2 {
-		t.Errorf("a replacement machine under the same ID: %+v", r)
+		t.Errorf("replacement machine with the same host ID: %+v, want version 2", r)
 	}
 }
 
@@ -167,7 +168,7 @@
 		b := rapid.SliceOf(rapid.ByteRange('a', 'c')).Draw(t, "b")
 		got, ok := ApplyDelta(a, MakeDelta(1, a, b))
 		if !ok || !bytes.Equal(got, b) {
-			t.Fatalf("%q to %q gave %q", a, b, got)
+			t.Fatalf("delta from %q to %q rebuilt %q", a, b, got)
 		}
 	})
 }
--- a/internal/core/configstate/quarantine_test.go
+++ b/internal/core/configstate/quarantine_test.go
@@ -10,7 +10,7 @@
 	return &pb.QuarantineRecord{Fingerprint: []byte(fingerprint), Cleared: cleared, Server: servers}
 }
 
-// TestKeptVerdicts applies verdicts in an order, and checks what is kept: also after a
+// TestKeptVerdicts applies sequences of verdicts and checks which is kept, also after restoring a
 // snapshot.
 func TestKeptVerdicts(t *testing.T) {
 	alive := verdict("a", 0, 1, 2, 3)
@@ -18,19 +18,19 @@
 	for _, c := range []struct {
 		name     string
 		commands []*pb.Command
-		ends     int // that count, of fingerprint "a"; -1 when nothing is kept
+		crashes  int // expected crash count of fingerprint "a"; -1 when nothing is kept
 		cleared  uint32
 	}{
-		{"a verdict", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}}, 3, 0},
-		{"too few ends", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2)}}, -1, 0},
-		{"the same again", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Quarantine: verdict("a", 0, 1, 2, 3)}}, 3, 0},
-		{"one more end", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Quarantine: verdict("a", 0, 1, 2, 3, 4)}}, 4, 0},
-		{"a host that knows less", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3, 4)}, {Quarantine: verdict("a", 0, 1, 2, 3)}}, 4, 0},
-		{"an end was taken back", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Quarantine: alive}}, 2, 0},
+		{"first verdict", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}}, 3, 0},
+		{"too few crashes", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2)}}, -1, 0},
+		{"same verdict twice", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Quarantine: verdict("a", 0, 1, 2, 3)}}, 3, 0},
+		{"one more crash", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Quarantine: verdict("a", 0, 1, 2, 3, 4)}}, 4, 0},
+		{"record with fewer crashes", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3, 4)}, {Quarantine: verdict("a", 0, 1, 2, 3)}}, 4, 0},
+		{"one process is alive", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Quarantine: alive}}, 2, 0},
 		{"lifted", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Lift: verdict("a", 1)}}, 0, 1},
-		{"lifted, then an old verdict", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Lift: verdict("a", 1)}, {Quarantine: verdict("a", 0, 4, 5, 6)}}, 0, 1},
+		{"lifted, then a verdict from before", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Lift: verdict("a", 1)}, {Quarantine: verdict("a", 0, 4, 5, 6)}}, 0, 1},
 		{"lifted, then a new verdict", []*pb.Command{{Quarantine: verdict("a", 0, 1, 2, 3)}, {Lift: verdict("a", 1)}, {Quarantine: verdict("a", 1, 4, 5, 6)}}, 3, 1},
-		{"a lift of what is only suspected", []*pb.Command{{Lift: verdict("a", 1)}}, 0, 1},
+		{"suspicion lifted", []*pb.Command{{Lift: verdict("a", 1)}}, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := NewMachine(1)
@@ -45,10 +45,10 @@
 				list, _ := m.Quarantined()
 				kept := KeptByFingerprint(list)["a"]
 				switch {
-				case c.ends < 0 && kept != nil:
-					t.Errorf("kept: %v", kept)
-				case c.ends >= 0 && (kept == nil || crashCount(kept) != c.ends || kept.Cleared != c.cleared):
-					t.Errorf("kept: %v, want %d ends, cleared %d", kept, c.ends, c.cleared)
+				case c.crashes < 0 && kept != nil:
+					t.Errorf("kept %v, want nothing", kept)
+				case c.crashes >= 0 && (kept == nil || crashCount(kept) != c.crashes || kept.Cleared != c.cleared):
+					t.Errorf("kept %v, want %d crashes, cleared %d times", kept, c.crashes, c.cleared)
 				}
 			}
 			if m.Version() != 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestKeptVerdictsAreBounded keeps more verdicts than there is room for.
+// TestKeptVerdictsAreBounded applies more verdicts than MaxQuarantined: the oldest are dropped.
 func TestKeptVerdictsAreBounded(t *testing.T) {
 	m := NewMachine(1)
 	for n := range MaxQuarantined + 10 {
@@ -66,9 +66,9 @@
 	}
 	list, revision := m.Quarantined()
 	if len(list) != MaxQuarantined || revision != MaxQuarantined+10 {
-		t.Errorf("%d verdicts are kept at revision %d", len(list), revision)
+		t.Errorf("%d verdicts kept at revision %d", len(list), revision)
 	}
 	if got := KeptByFingerprint(list)[string([]byte{0, 0})]; got != nil {
-		t.Error("the oldest verdict is still there")
+		t.Error("the oldest verdict was not dropped")
 	}
 }
--- a/internal/core/configstate/record.go
+++ b/internal/core/configstate/record.go
@@ -1,5 +1,5 @@
-// Package configstate holds the configuration record, its validation, and the
-// replicated state machine that accepts changes of it. It does no I/O.
+// Package configstate defines the configuration record, its validation, and the
+// replicated state machine that applies changes to it. It does no I/O.
 package configstate
 
 import (
@@ -11,14 +11,14 @@
 	"strings"
 )
 
-// Schema versions that this build accepts. Both are converted to one internal
-// form; see upgrade.
+// Schema versions that this build accepts. Records of both are converted to the same
+// internal form; see upgrade.
 const (
 	PreviousSchema = 1
 	CurrentSchema  = 2
 )
 
-// Record is the internal form of an operators' configuration record.
+// Record is the internal form of the configuration record that operators write.
 type Record struct {
 	// SchemaVersion is the version the record was written in (1 or 2).
 	SchemaVersion int `json:"schema_version"`
@@ -26,56 +26,56 @@
 	Regions []Region `json:"regions"`
 	// Hosts lists the entry hosts.
 	Hosts []Host `json:"hosts"`
-	// Teams lists who may call.
+	// Teams lists the teams whose callers may send requests.
 	Teams []Team `json:"teams"`
 	// Models lists the models and where each may run.
 	Models []Model `json:"models"`
 	// Services lists the plain services and where each may run.
 	Services []Service `json:"services"`
-	// Residency lists, for each kind of request, where it may go.
+	// Residency lists, for each kind of request, the regions that may handle it.
 	Residency []ResidencyRule `json:"residency"`
-	// Operators lists the operators' keys.
+	// Operators lists the operators with the hashes of their keys.
 	Operators []Operator `json:"operators"`
-	// BackendKeyHashes are the SHA-256 hashes, in hex, of the keys with which
-	// backend servers announce themselves.
+	// BackendKeyHashes are the SHA-256 hashes, in hex, of the keys that authenticate
+	// the announcements of backend servers.
 	BackendKeyHashes []string `json:"backend_key_hashes"`
 	// Policy holds the weights of routing, admission and retries.
 	Policy Policy `json:"policy"`
 	// Ledger holds the limits of the at-most-once ledger.
 	Ledger LedgerPolicy `json:"ledger"`
-	// OpenOperators marks a deployment whose network admits operators only: the
-	// record names none, and entry hosts present themselves instead of being listed.
+	// OpenOperators marks a deployment whose network restricts access to operators. The
+	// record lists no operators, and entry hosts register themselves instead of being listed.
 	OpenOperators bool `json:"open_operators,omitempty"`
-	// Routes send requests, as they came, to services by host and path.
+	// Routes send requests unchanged to services, by host and path.
 	Routes []Route `json:"routes,omitempty"`
 	// RoutedServices are the services that routes name.
 	RoutedServices []RoutedService `json:"routed_services,omitempty"`
-	// RequestLimits bounds what callers of routes may send.
+	// RequestLimits bounds the requests of callers on routes.
 	RequestLimits RequestLimits `json:"request_limits"`
-	// KeysRequired says that requests on routes need a team's key, unless the route is public.
+	// KeysRequired states that requests on routes need a team's key, except on public routes.
 	KeysRequired bool `json:"keys_required,omitempty"`
-	// Source is the document that the record was made from. Records hold it no more, as it may
-	// hold keys; see Command in the peers' messages.
+	// Source is the operators' document from which the record was made. New records omit it, as
+	// it may contain keys; it is stored sealed in the source field of the Command message.
 	Source json.RawMessage `json:"source,omitempty"`
 
 	routesByHost map[string][]int // indexes into Routes
-	teamsByKey   map[string]*Team // by the hashes of their keys
+	teamsByKey   map[string]*Team // by key hash
 }
 
-// Region is a set of failure domains close to each other.
+// Region is a group of failure domains that are close to each other.
 type Region struct {
 	Name           string   `json:"name"`
 	FailureDomains []string `json:"failure_domains"`
 }
 
-// Host is an entry host. A replacement machine takes over the ID.
+// Host is an entry host. A replacement machine takes over the ID of the lost one.
 type Host struct {
 	ID            string `json:"id"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failure_domain"`
-	// Peer is the IP address and port for other hosts.
+	// Peer is the IP address and port on which other hosts reach it.
 	Peer string `json:"peer"`
-	// Caller is the base URL for callers.
+	// Caller is the base URL on which callers reach it.
 	Caller string `json:"caller"`
 }
 
@@ -84,21 +84,22 @@
 	Name string `json:"name"`
 	// KeyHashes are SHA-256 hashes of the team's keys, in hex.
 	KeyHashes []string `json:"key_hashes"`
-	// Home is the team's region: the ledger of its non-idempotent requests is there.
+	// Home is the team's home region, which holds the ledger of its non-idempotent requests.
 	Home string `json:"home"`
-	// Weight is the team's share of capacity relative to others (default 1).
+	// Weight is the team's share of capacity relative to other teams (default 1).
 	Weight float64 `json:"weight"`
-	// Priority orders the team's requests; higher goes first (default 0).
+	// Priority is the team's scheduling priority; higher values are served first (default 0).
 	Priority int `json:"priority"`
-	// Kind is the kind of the team's requests that name none (default "default").
+	// Kind is the kind of requests that state none (default "default").
 	Kind string `json:"kind"`
-	// Models and Services name what the team may use; empty means all.
+	// Models and Services list the models and services that the team may use; empty means all.
 	Models   []string `json:"models"`
 	Services []string `json:"services"`
 	// Homes lists the regions whose servers may run the team's requests on routes; empty
-	// means all. A route's own homes bind as well.
+	// means all. The route's own homes restrict them further.
 	Homes []string `json:"homes,omitempty"`
-	// Quota bounds what all entry hosts together send of the team's requests; nil for no limit.
+	// Quota limits the rate at which all entry hosts together send the team's requests; nil for
+	// no limit.
 	Quota *Quota `json:"quota,omitempty"`
 }
 
@@ -109,16 +110,16 @@
 	Regions []string `json:"regions"`
 }
 
-// Service is a plain service beside the model engines.
+// Service is a service other than a language model.
 type Service struct {
 	Name    string   `json:"name"`
 	Regions []string `json:"regions"`
-	// NonIdempotent marks calls with methods other than GET, HEAD and OPTIONS
-	// as not repeatable: they run at most once.
+	// NonIdempotent states that requests with methods other than GET, HEAD and OPTIONS
+	// must run at most once.
 	NonIdempotent bool `json:"non_idempotent"`
 }
 
-// ResidencyRule says where requests of a kind may be sent.
+// ResidencyRule restricts the regions that may handle requests of a kind.
 type ResidencyRule struct {
 	Kind string `json:"kind"`
 	// Regions lists the permitted regions; empty means all.
@@ -134,23 +135,24 @@
 	ReadOnly  bool     `json:"read_only"`
 }
 
-// Policy holds the weights of the decisions on requests.
+// Policy holds the parameters of routing, admission and retries.
 type Policy struct {
 	// Preset names the defaults: "archive", "railhalt" or "balanced".
 	Preset string `json:"preset"`
-	// SendAwayPriceMS is added, in ms, to another region's estimate.
+	// SendAwayPriceMS is added to the estimate of another region, in ms.
 	SendAwayPriceMS float64 `json:"send_away_price_ms"`
-	// SendAwayMargin is the ratio by which another region must beat home (0 to 1).
+	// SendAwayMargin is the fraction by which the estimate of another failure domain must be
+	// below the best local one (0 to 1).
 	SendAwayMargin float64 `json:"send_away_margin"`
-	// SendAwayCeiling is the largest share of requests sent away (0 to 1).
+	// SendAwayCeiling is the maximum fraction of requests sent to other regions (0 to 1).
 	SendAwayCeiling float64 `json:"send_away_ceiling"`
-	// CacheWeight scales the value of a cached prefix (0 to 2).
+	// CacheWeight scales the prefill time saved by a cached prefix (0 to 2).
 	CacheWeight float64 `json:"cache_weight"`
-	// RetryBudget is the share of recent requests that may be retries (0 to 1).
+	// RetryBudget is the maximum fraction of recent requests that are retries (0 to 1).
 	RetryBudget float64 `json:"retry_budget"`
 	// MaxAttempts bounds the attempts of one request (1 to 10).
 	MaxAttempts int `json:"max_attempts"`
-	// DefaultDeadlineMS applies to requests that state no deadline.
+	// DefaultDeadlineMS is the deadline of requests that state none, in ms.
 	DefaultDeadlineMS int `json:"default_deadline_ms"`
 	// MaxQueuePerSlot bounds the requests queued for each slot of a backend server.
 	MaxQueuePerSlot float64 `json:"max_queue_per_slot"`
@@ -158,25 +160,25 @@
 
 // LedgerPolicy bounds the at-most-once ledger.
 type LedgerPolicy struct {
-	// Replicas is the number of replicas of a key: 3 or 5.
+	// Replicas is the replication factor of a key: 3 or 5.
 	Replicas int `json:"replicas"`
-	// RetentionMS is how long a finished key keeps its answer.
+	// RetentionMS is how long the answer of a finished key is kept, in ms.
 	RetentionMS int64 `json:"retention_ms"`
 	// MaxKeys bounds the keys held by one host.
 	MaxKeys int `json:"max_keys"`
-	// MaxBytes bounds the stored answers held by one host, in bytes.
+	// MaxBytes bounds the total size of the answers stored by one host, in bytes.
 	MaxBytes int `json:"max_bytes"`
-	// MaxAnswerBytes bounds the stored body of one answer.
+	// MaxAnswerBytes bounds the stored body of one answer, in bytes.
 	MaxAnswerBytes int `json:"max_answer_bytes"`
 }
 
-// FieldError names a field of a record and what is wrong with it.
+// FieldError describes an invalid field of a record.
 type FieldError struct {
 	Field  string `json:"field"`
 	Reason string `json:"reason"`
 }
 
-// FieldErrors is every fault of one record.
+// FieldErrors lists all validation errors of one record.
 type FieldErrors []FieldError
 
 // Error implements error.
@@ -188,15 +190,14 @@
 	return strings.Join(lines, "; ")
 }
 
-// Digest identifies the bytes of a record by their SHA-256 hash.
+// Digest returns the SHA-256 hash of a record's bytes.
 func Digest(raw []byte) []byte {
 	sum := sha256.Sum256(raw)
 	return sum[:]
 }
 
-// Parse decodes and validates the bytes of a record, compressed or not. Fields
-// that this build does not know are ignored here and kept in the bytes, which
-// travel unchanged.
+// Parse decodes and validates the bytes of a record, compressed or not. Unknown fields are
+// ignored; they are preserved because hosts store and forward the bytes unchanged.
 func Parse(raw []byte) (*Record, error) {
 	raw, err := Inflate(raw)
 	if err != nil {
@@ -231,7 +232,7 @@
 	}
 }
 
-// DefaultKind is the kind of requests whose team names none.
+// DefaultKind is the kind of requests whose team configures none.
 const DefaultKind = "default"
 
 func (r *Record) applyDefaults() {
@@ -259,8 +260,8 @@
 	}
 }
 
-// Presets are the named defaults of Policy. archive keeps work at home and
-// accepts longer waits; railhalt sends away early to cut the tail.
+// Presets are the named defaults of Policy. archive keeps requests in the home region and
+// accepts longer waits; railhalt sends them to other regions early to reduce tail latency.
 var Presets = map[string]Policy{
 	"archive":  {SendAwayPriceMS: 2000, SendAwayMargin: 0.5, SendAwayCeiling: 0.10, CacheWeight: 1.25},
 	"railhalt": {SendAwayPriceMS: 10, SendAwayMargin: 0.05, SendAwayCeiling: 0.60, CacheWeight: 1},
@@ -282,8 +283,8 @@
 	setDefault(&p.MaxQueuePerSlot, DefaultQueuePerSlot)
 }
 
-// DefaultQueuePerSlot keeps a short queue at the backend servers, so that a free
-// slot finds work, and the rest in the entry hosts' fair queues.
+// DefaultQueuePerSlot allows a short queue at each backend server, so that a freed slot is
+// used at once. All other requests wait in the entry hosts' fair queues.
 const DefaultQueuePerSlot = 0.25
 
 // RegionNames returns the names of the regions, sorted.
@@ -356,7 +357,7 @@
 	return ResidencyRule{}, false
 }
 
-// RegionHosts returns the IDs of the region's entry hosts, sorted.
+// RegionHosts returns the region's entry hosts, sorted by ID.
 func (r *Record) RegionHosts(region string) []Host {
 	var hosts []Host
 	for _, h := range r.Hosts {
--- a/internal/core/configstate/routes.go
+++ b/internal/core/configstate/routes.go
@@ -6,91 +6,90 @@
 	"strings"
 )
 
-// RouteKind says how often a route's requests may run.
+// RouteKind states how often a route's requests may run and how they are answered.
 type RouteKind string
 
 // Kinds of routes.
 const (
 	KindReadOnly      RouteKind = "read_only"      // may run any number of times
 	KindNonIdempotent RouteKind = "non_idempotent" // runs at most once for each attempt of the caller
-	KindStream        RouteKind = "stream"         // answered by server-sent events
+	KindStream        RouteKind = "stream"         // answered with server-sent events
 )
 
-// Route sends the requests of one host and path prefix, as they came, to the
-// backend servers of a service.
+// Route sends the requests of one host and path prefix unchanged to the backend
+// servers of its target services.
 type Route struct {
 	Name string `json:"name"`
 	// Host is the request's Host header, without a port.
 	Host string `json:"host"`
-	// PathPrefix begins and ends with a slash; the longest one that begins the
-	// request's path is used.
+	// PathPrefix begins and ends with a slash. The route with the longest matching
+	// prefix is used.
 	PathPrefix string    `json:"path_prefix"`
 	Kind       RouteKind `json:"kind"`
-	// Targets are the services that share the route's requests by weight.
+	// Targets are the services among which the route's requests are split by weight.
 	Targets []RouteTarget `json:"targets"`
-	// Attempts bounds the backend servers that one request may be sent to (1 to 10).
+	// Attempts bounds the number of backend servers that one request may be sent to (at least 1).
 	Attempts int `json:"attempts"`
-	// TimeoutMS is the longest time a caller is kept waiting, in ms.
+	// TimeoutMS is the maximum time that a caller waits, in ms.
 	TimeoutMS int64 `json:"timeout_ms"`
-	// LatencyTargetMS is the time to the answer, or to a stream's first event,
-	// that callers expect, in ms.
+	// LatencyTargetMS is the target time to the answer, or to a stream's first
+	// event, in ms.
 	LatencyTargetMS int64 `json:"latency_target_ms"`
-	// GapTargetMS is the longest pause between a stream's events that callers
-	// expect, in ms.
+	// GapTargetMS is the target for the longest gap between a stream's events, in ms.
 	GapTargetMS int64 `json:"gap_target_ms"`
-	// Priority orders routes of one service: 0 goes first.
+	// Priority orders the routes of one service: lower values are served first, 0 being the first.
 	Priority int `json:"priority"`
-	// Resumable marks streams that another server can continue after the last
-	// event passed on.
+	// Resumable states that another server can continue the route's streams after the
+	// last event that was forwarded.
 	Resumable bool `json:"resumable"`
 	// Homes lists the regions whose servers may run the requests; empty means all.
 	Homes []string `json:"homes"`
-	// Public routes need no key.
+	// Public states that requests need no key.
 	Public bool `json:"public,omitempty"`
 }
 
-// RouteTarget is a service with its share of a route's requests.
+// RouteTarget is a service with its weight in the split of a route's requests.
 type RouteTarget struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// RoutedService is a service that routes name.
+// RoutedService is a service that routes may target.
 type RoutedService struct {
 	Name string `json:"name"`
-	// MaxConns bounds the connections of all hosts to one of its servers.
+	// MaxConns bounds the connections of all entry hosts together to one of its servers.
 	MaxConns int `json:"max_conns"`
-	// ColdPerSecond is the number of requests a second that a cold server
-	// tolerates; 0 when the service's servers have no cold phase.
+	// ColdPerSecond is the request rate that a cold server sustains, per second; 0 when
+	// the service's servers need no warm-up.
 	ColdPerSecond float64 `json:"cold_per_second"`
-	// Engine is set for model engines.
+	// Engine describes the service's model engines; nil for other services.
 	Engine *EngineLimits `json:"engine,omitempty"`
 }
 
 // EngineLimits describes the engines of a service.
 type EngineLimits struct {
-	// Slots is the number of requests in one batch.
+	// Slots is the maximum number of requests in one batch.
 	Slots int `json:"slots"`
 	// MemoryTokens is the size of the KV cache, in tokens.
 	MemoryTokens int64 `json:"memory_tokens"`
-	// TokenBytes is the size of a token in the KV cache, in bytes, and TransferMbps
-	// how fast engines copy KV cache from each other, in Mbit/s. Without them engines
-	// copy nothing.
+	// TokenBytes is the size of a token in the KV cache, in bytes, and TransferMbps the
+	// rate at which engines copy KV cache from each other, in Mbit/s. If either is 0,
+	// engines copy nothing.
 	TokenBytes   int64   `json:"token_bytes,omitempty"`
 	TransferMbps float64 `json:"transfer_mbps,omitempty"`
 }
 
-// CopyRate returns how fast engines copy KV cache from each other, in tokens per ms;
-// 0 when they don't.
+// CopyRate returns the rate at which engines copy KV cache from each other, in tokens per
+// ms; 0 when they do not.
 func (e *EngineLimits) CopyRate() float64 {
 	if e.TokenBytes <= 0 {
 		return 0
 	}
-	const bitsPerMS = 1000 // of one Mbit/s
+	const bitsPerMS = 1000 // bits per ms at 1 Mbit/s
 	return e.TransferMbps * bitsPerMS / float64(8*e.TokenBytes)
 }
 
-// RequestLimits bounds what callers of routes may send.
+// RequestLimits bounds the requests of callers on routes.
 type RequestLimits struct {
 	MaxHeaderBytes  int   `json:"max_header_bytes"`
 	MaxBodyBytes    int64 `json:"max_body_bytes"`
@@ -98,8 +97,8 @@
 	IdleTimeoutMS   int64 `json:"idle_timeout_ms"`
 }
 
-// Idempotent reports whether a request of the route may run more than once. A
-// stream may when it is resumable: a second server continues the first's events.
+// Idempotent reports whether a request of the route may run more than once. A stream
+// may if it is resumable: the second server continues after the first one's events.
 func (r *Route) Idempotent() bool {
 	return r.Kind == KindReadOnly || (r.Kind == KindStream && r.Resumable)
 }
@@ -109,8 +108,8 @@
 	return len(r.Homes) == 0 || slices.Contains(r.Homes, region)
 }
 
-// Service returns the service for a request; point (0 to 1) picks among several
-// by weight, and is derived from the request so that every host picks the same.
+// Service returns the service for a request. point, in [0, 1), selects among several by
+// weight; it must be derived from the request, so that every host selects the same.
 func (r *Route) Service(point float64) string {
 	sum := 0.0
 	for _, t := range r.Targets {
@@ -130,8 +129,8 @@
 	return service
 }
 
-// RouteFor returns the route of a request: of the routes with its host, the one
-// with the longest prefix of its path.
+// RouteFor returns the route of a request: among the routes of its host, the one with
+// the longest matching path prefix.
 func (r *Record) RouteFor(host, path string) (*Route, bool) {
 	var best *Route
 	for _, i := range r.routesByHost[host] {
@@ -149,8 +148,8 @@
 // HasRoutes reports whether any route has the host.
 func (r *Record) HasRoutes(host string) bool { return len(r.routesByHost[host]) > 0 }
 
-// HostHomes returns the regions that every route of the host permits; nil when
-// no route of the host is bound to regions.
+// HostHomes returns the regions that every route of the host permits; nil when no route
+// of the host is restricted to regions.
 func (r *Record) HostHomes(host string) []string {
 	var homes []string
 	bound := false
@@ -177,6 +176,7 @@
 	return nil, false
 }
 
+// indexRoutes indexes the routes by host.
 func (r *Record) indexRoutes() {
 	r.routesByHost = map[string][]int{}
 	for i := range r.Routes {
@@ -185,7 +185,7 @@
 	}
 }
 
-// checkRoutes names every fault of the routes and of the services they use.
+// checkRoutes validates the routed services and the routes.
 func (v *validator) checkRoutes(r *Record) {
 	services := map[string]bool{}
 	for i, s := range r.RoutedServices {
--- a/internal/core/configstate/routes_test.go
+++ b/internal/core/configstate/routes_test.go
@@ -8,6 +8,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
+// routedRecord returns an encoded record with three routes, modified by edit.
 func routedRecord(t *testing.T, edit func(*Record)) []byte {
 	t.Helper()
 	r := &Record{
@@ -44,10 +45,10 @@
 		}
 	}
 	if homes := r.HostHomes("h"); len(homes) != 1 || homes[0] != "r" {
-		t.Errorf("homes of all routes of h: %v", homes)
+		t.Errorf("homes permitted by all routes of h: %v, want [r]", homes)
 	}
 	if homes := r.HostHomes("h2"); homes != nil {
-		t.Errorf("homes of h2: %v", homes)
+		t.Errorf("homes permitted by all routes of h2: %v, want none", homes)
 	}
 }
 
@@ -62,11 +63,11 @@
 		count[route.Service((float64(i)+0.5)/1000)]++
 	}
 	if count["s"] != 750 || count["s2"] != 250 {
-		t.Errorf("split %v, want 3 to 1", count)
+		t.Errorf("requests by service: %v, want 750 and 250", count)
 	}
 }
 
-// declared is a command with a record that states its version.
+// declared returns a command with a record that declares its own version.
 func declared(t *testing.T, version uint64, edit func(*Record)) *pb.Command {
 	raw, err := Compress(routedRecord(t, edit))
 	if err != nil {
@@ -75,8 +76,8 @@
 	return &pb.Command{DeclaredVersion: version, Record: raw}
 }
 
-// TestDeclaredVersions plays changes that arrive in any order, twice, or with
-// other content under the version in force.
+// TestDeclaredVersions applies declared versions out of order, twice, and with other
+// content under the current version.
 func TestDeclaredVersions(t *testing.T) {
 	renamed := func(name string) func(*Record) { return func(r *Record) { r.Routes[0].Name = name } }
 	m := NewMachine(1)
@@ -84,7 +85,7 @@
 		version uint64
 		edit    func(*Record)
 		code    failure.Code
-		inForce uint64
+		current uint64
 		route   string
 	}{
 		{5, renamed("v5"), "", 5, "v5"},
@@ -96,7 +97,7 @@
 	}
 	for i, s := range steps {
 		res := m.Apply(declared(t, s.version, s.edit))
-		if res.Code != s.code || m.Version() != s.inForce || m.Record().Routes[0].Name != s.route {
+		if res.Code != s.code || m.Version() != s.current || m.Record().Routes[0].Name != s.route {
 			t.Errorf("step %d: code %q, version %d, route %q", i, res.Code, m.Version(), m.Record().Routes[0].Name)
 		}
 	}
@@ -105,7 +106,7 @@
 		t.Fatal(err)
 	}
 	if again.Version() != 9 || again.Record().Routes[0].Name != "v9" {
-		t.Errorf("after a snapshot: version %d", again.Version())
+		t.Errorf("version %d after restoring a snapshot, want 9 with its record", again.Version())
 	}
 }
 
@@ -121,7 +122,7 @@
 	} {
 		m.Apply(s.cmd)
 		if domains, revision := m.Evacuated(); len(domains) != s.want || revision != s.revision {
-			t.Errorf("step %d: %v, revision %d", i, domains, revision)
+			t.Errorf("step %d: evacuated domains %v, revision %d", i, domains, revision)
 		}
 	}
 	again := NewMachine(1)
@@ -129,6 +130,6 @@
 		t.Fatal(err)
 	}
 	if domains, revision := again.Evacuated(); len(domains) != 1 || domains[0] != "a" || revision != 3 {
-		t.Errorf("after a snapshot: %v, revision %d", domains, revision)
+		t.Errorf("after restoring a snapshot: evacuated domains %v, revision %d; want [a], 3", domains, revision)
 	}
 }
--- a/internal/core/configstate/teams.go
+++ b/internal/core/configstate/teams.go
@@ -17,8 +17,7 @@
 type Quota struct {
 	// Unit is "requests" or "tokens".
 	Unit string `json:"unit"`
-	// PerSecond and Burst are the rate and the bucket size of a token bucket, in units: in any
-	// period of t seconds at most PerSecond*t + Burst may be sent.
+	// PerSecond is the rate and Burst the burst size, in units: in any period of t seconds at most PerSecond*t + Burst may be sent.
 	PerSecond float64 `json:"per_second"`
 	Burst     float64 `json:"burst"`
 	// PlainTokens is the cost of a request that states no token count, with unit "tokens".
--- a/internal/core/configstate/validate.go
+++ b/internal/core/configstate/validate.go
@@ -11,7 +11,7 @@
 // keyHashLength is the length of a SHA-256 hash in hex.
 const keyHashLength = 64
 
-// validator collects the faults of one record.
+// validator collects the validation errors of one record.
 type validator struct {
 	errs    FieldErrors
 	regions map[string]Region
@@ -87,6 +87,7 @@
 	}
 }
 
+// knownRegions returns the names of the record's regions for error messages.
 func (v *validator) knownRegions() string {
 	names := make([]string, 0, len(v.regions))
 	for n := range v.regions {
@@ -124,7 +125,7 @@
 	}
 }
 
-// checkKeyHashes names faults of an owner's key hashes; seen tells whose each hash is.
+// checkKeyHashes validates an owner's key hashes; seen maps each hash checked so far to its owner.
 func (v *validator) checkKeyHashes(field, owner string, hashes []string, seen map[string]string) {
 	for _, h := range hashes {
 		if len(h) != keyHashLength || strings.Trim(h, "0123456789abcdef") != "" {
@@ -170,8 +171,8 @@
 	}
 }
 
-// checkResidency refuses rules under which a team's kind of request could go
-// nowhere for a model or service the team may use.
+// checkResidency validates the residency rules. It rejects a rule that leaves a team's
+// default kind without a permitted region for a model or service that the team may use.
 func (v *validator) checkResidency(r *Record) {
 	kinds := map[string]bool{}
 	for i, rule := range r.Residency {
@@ -185,6 +186,8 @@
 	}
 }
 
+// checkReachable checks that the rule leaves a region for every model and service that teams
+// of its kind may use.
 func (v *validator) checkReachable(field string, r *Record, rule ResidencyRule) {
 	for _, t := range r.Teams {
 		if t.Kind != rule.Kind {
@@ -203,10 +206,13 @@
 	}
 }
 
+// emptyOrContains reports whether the list admits the name; an empty list admits all.
 func emptyOrContains(list []string, name string) bool {
 	return len(list) == 0 || slices.Contains(list, name)
 }
 
+// hasPermittedRegion reports whether a region is permitted by both the rule and the target's
+// regions, for a team with the given home region.
 func (v *validator) hasPermittedRegion(r *Record, rule ResidencyRule, target []string, home string) bool {
 	for _, reg := range r.Regions {
 		if rule.HomeOnly && reg.Name != home {
@@ -257,12 +263,12 @@
 		}
 	}
 	if writers == 0 && !r.OpenOperators {
-		v.addError("operators", "at least one operator needs a key and no read_only, or nobody could change the record again")
+		v.addError("operators", "at least one operator with a key must not be read_only, or nobody could change the record again")
 	}
 }
 
-// CheckTransition refuses changes between two valid records that the running
-// fleet could not carry out safely.
+// CheckTransition rejects changes between two valid records that cannot be applied safely
+// while the entry hosts run.
 func CheckTransition(old, next *Record) FieldErrors {
 	v := &validator{}
 	for _, reg := range old.Regions {
