--- a/internal/core/configstate/configstate_test.go
+++ b/internal/core/configstate/configstate_test.go
@@ -105,13 +105,13 @@
 		version uint64
 		code    failure.Code
 	}{
-		{"first change", command(0, "a", good), 1, ""},
-		{"resent change", command(0, "a", good), 1, ""},
+		{"first", command(0, "a", good), 1, ""},
+		{"resent", command(0, "a", good), 1, ""},
 		{"outdated base version", command(0, "b", good), 0, failure.VersionConflict},
 		{"resent rejected change, base version current now", command(0, "b", good), 0, failure.VersionConflict},
 		{"change ID reused", command(1, "a", good), 0, failure.ChangeIDReused},
-		{"invalid record", command(1, "c", []byte("{}")), 0, failure.InvalidRecord},
-		{"second change", command(1, "d", good), 2, ""},
+		{"invalid", command(1, "c", []byte("{}")), 0, failure.InvalidRecord},
+		{"second", command(1, "d", good), 2, ""},
 	}
 	for round := range 2 {
 		for _, s := range steps {
