--- a/internal/core/configstate/quarantine.go
+++ b/internal/core/configstate/quarantine.go
@@ -33,7 +33,7 @@
 	return crashes != crashCount(kept) && len(r.Server) >= len(kept.Server)
 }
 
-// crashCount returns the number of processes in a record that are not known to be alive.
+// crashCount returns the number of processes in a record that are not marked alive.
 func crashCount(r *pb.QuarantineRecord) int {
 	n := len(r.Server)
 	for _, alive := range r.Alive {
--- a/internal/core/quarantine/recent_answers.go
+++ b/internal/core/quarantine/recent_answers.go
@@ -10,8 +10,8 @@
 const maxAnswersPerGeneration = 8192
 
 // recentAnswers records which requests were answered completely within answerValidity, in two
-// generations. When the current one exceeds answerValidity or is full, it becomes the previous
-// one, whose entries are dropped.
+// generations. When the current one is older than answerValidity or full, it replaces the previous
+// one, and a new one begins.
 type recentAnswers struct {
 	current, previous map[Fingerprint]time.Time
 	currentSince      time.Time
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -8,8 +8,8 @@
 //
 // Invariants: a fingerprint is quarantined only while at least Crashes server processes are
 // recorded as crashed while running it, with no complete answer to it since; each process
-// counts once; merging records is commutative and idempotent, so the order and number of
-// deliveries do not matter.
+// counts once; the content of two tables does not depend on the order in which, or how often,
+// records were merged.
 package quarantine
 
 import (
@@ -64,7 +64,7 @@
 
 // Options configures a Table.
 type Options struct {
-	// Host is the entry host's name, from which its trial time is derived.
+	// Host is the entry host's name, from which the delay of its trials is derived.
 	Host string
 	// Capacity bounds the number of fingerprints that are kept (default DefaultCapacity).
 	Capacity int
@@ -223,7 +223,8 @@
 
 // trialDue reports whether this host may run a quarantined request as a trial: after the hold
 // time, or once no server runs the release that crashed. Each host adds a delay derived from its
-// name, so that the outcome of one trial reaches the other hosts before the next.
+// name and the fingerprint, so that the outcome of one trial usually reaches the other hosts before
+// the next.
 func (t *Table) trialDue(r *record, now time.Time) bool {
 	crashes := r.crashCount()
 	if crashes >= maxCrashes {
@@ -262,6 +263,7 @@
 	return times[Crashes-1]
 }
 
+// lastCrashAt returns when the last counted crash was recorded; zero for none.
 func (r *record) lastCrashAt() time.Time {
 	var last time.Time
 	for _, e := range r.crashes {
@@ -349,6 +351,7 @@
 	return true
 }
 
+// clear removes the crashes of a record and raises its cleared count.
 func (t *Table) clear(r *record, now time.Time) {
 	r.cleared++
 	r.crashes, r.replacedAt = nil, time.Time{}
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -40,12 +40,12 @@
 	Slots         float64
 	Outstanding   float64
 	ServiceMS     float64       // mean time a request holds a slot, in ms
-	WaitMS        float64       // estimated time to first token there for an uncached prompt, in ms
+	WaitMS        float64       // estimated time to first token in that domain for an uncached prompt, in ms
 	Age           time.Duration // age of the summary
 	NetworkMS     float64       // one-way latency, in ms
-	Sent          float64       // this host's forwards in flight there in excess of those at the time of the summary
-	Senders       float64       // number of entry hosts that may forward there
-	Sticky        bool          // this host forwarded requests there recently
+	Sent          float64       // this host's forwards in flight to it, beyond those at the time of the summary
+	Senders       float64       // number of entry hosts that may forward to it
+	Sticky        bool          // this host forwarded requests to it recently
 }
 
 // Weights are the configured routing weights; configstate.Policy documents them.
@@ -293,9 +293,9 @@
 }
 
 // remoteEstimateMS returns the cost of forwarding to another failure domain, in ms:
-// the time to first token there for an uncached prompt, corrected for forwards since
-// its summary, plus the network round trip and, for another region, the configured
-// price. The estimate grows with the summary's age.
+// its time to first token for an uncached prompt, corrected for the forwards of
+// all senders since its summary, plus the network round trip and, for another region,
+// the configured price. The estimate grows with the summary's age.
 func remoteEstimateMS(r Remote, w Weights) float64 {
 	e := r.WaitMS + 2*r.NetworkMS
 	if r.Slots > 0 {
