--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -254,7 +254,7 @@
 		}
 		crashing, healthy := request(1), request(2)
 		t.Repeat(map[string]func(*rapid.T){
-			"the crashing request crashes a server": func(t *rapid.T) { m.crash(t, crashing) },
+			"a server crashes under the crashing request": func(t *rapid.T) { m.crash(t, crashing) },
 			"a server crashes under the healthy request": func(t *rapid.T) {
 				if len(m.crashes[healthy]) < Crashes-1 {
 					m.crash(t, healthy)
@@ -263,11 +263,11 @@
 			"the healthy request is answered": func(t *rapid.T) {
 				m.table(t).Served(healthy, m.now)
 			},
-			"a message is sent": func(t *rapid.T) {
+			"message is sent": func(t *rapid.T) {
 				records, _ := m.table(t).Since(0, 100, All, m.now)
 				m.inFlight = append(m.inFlight, message{rapid.IntRange(0, 3).Draw(t, "to"), records})
 			},
-			"a message arrives": func(t *rapid.T) {
+			"message arrives": func(t *rapid.T) {
 				if len(m.inFlight) == 0 {
 					t.Skip("none")
 				}
