--- a/internal/core/holders/holders.go
+++ b/internal/core/holders/holders.go
@@ -1,7 +1,7 @@
-// Package holders is about which engine holds which shared chain of prompts in its KV
-// cache. Entry hosts tell their control host where they sent prompts; control hosts
-// keep the newest of it in a log and hand it on; each entry host keeps a table of it.
-// All of it is a hint: an engine may have evicted a chain, and a hint may be lost.
+// Package holders tracks which engine probably holds which shared prefix chain of prompts in
+// its KV cache. Entry hosts report to their control host where they sent prompts; control hosts
+// keep the newest reports in a bounded log and forward them; each entry host keeps a table of
+// them. The reports are hints: an engine may have evicted a chain, and a report may be lost.
 package holders
 
 import (
@@ -12,16 +12,16 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Place says that a prompt with the chain was sent to the server, or to some server of
-// another region, which then stands in its place. Both are keys of four bytes, as each host
-// hears of every long prompt of its region. Two IDs with one key make a hint wrong, which
-// costs one reading.
+// Place records that a prompt with the chain was sent to the server. For a server of another
+// region, Server is the key of the region. Both fields are 4-byte keys because each entry host
+// receives a place for every long prompt of its region. A key collision makes a hint wrong,
+// which costs one prefill.
 type Place struct{ Chain, Server uint32 }
 
-// Key returns the key of a chain's or server's ID.
+// Key returns the key of the ID of a chain, server, host or region.
 func Key(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// Encode returns the message that holds the places; nil for none.
+// Encode returns the message for the places; nil if there are none.
 func Encode(places []Place) *pb.PromptPlaces {
 	if len(places) == 0 {
 		return nil
@@ -34,7 +34,7 @@
 	return m
 }
 
-// Decode returns the places of a message. A chain without a server is left out.
+// Decode returns the places of a message. Chains without a server are skipped.
 func Decode(m *pb.PromptPlaces) []Place {
 	var out []Place
 	for i, chain := range m.GetChain() {
@@ -45,8 +45,8 @@
 	return out
 }
 
-// logLength bounds a log: some ten seconds of a region with 400 long prompts a second.
-const logLength = 4096
+// maxLogEntries bounds a log: about 10 s of a region with 400 long prompts per second.
+const maxLogEntries = 4096
 
 // Log is a control host's list of places, oldest first. It is not safe for concurrent use.
 type Log struct {
@@ -55,37 +55,37 @@
 }
 
 type entry struct {
-	place  Place
-	origin string // the entry host that told it here; "" when another control host did
-	domain bool   // the other control host is of the own failure domain
+	place      Place
+	origin     string // ID of the entry host that reported the place here; "" if a control host forwarded it
+	sameDomain bool   // forwarded by a control host of this failure domain
 }
 
-// Add appends places. An origin names the entry host that told them; "" means that
-// another control host did.
+// Add appends places. origin is the ID of the entry host that reported them; "" if a control
+// host of another failure domain forwarded them.
 func (l *Log) Add(origin string, places []Place) { l.add(places, entry{origin: origin}) }
 
-// AddOfDomain appends places that another control host of the own failure domain told.
-func (l *Log) AddOfDomain(places []Place) { l.add(places, entry{domain: true}) }
+// AddOfDomain appends places that another control host of this failure domain forwarded.
+func (l *Log) AddOfDomain(places []Place) { l.add(places, entry{sameDomain: true}) }
 
 func (l *Log) add(places []Place, e entry) {
 	for _, p := range places {
 		e.place = p
 		l.entries = append(l.entries, e)
 	}
-	if over := len(l.entries) - logLength; over > 0 {
+	if over := len(l.entries) - maxLogEntries; over > 0 {
 		l.entries = append([]entry(nil), l.entries[over:]...)
 		l.first += uint64(over)
 	}
 }
 
-// For returns the places from a position on that an entry host does not know, and the
-// position to go on from.
+// For returns the places from a position on that the entry host did not report itself, and the
+// position for the next call.
 func (l *Log) For(host string, from uint64) ([]Place, uint64) {
-	return l.from(from, func(e entry) bool { return e.origin != host })
+	return l.filterFrom(from, func(e entry) bool { return e.origin != host })
 }
 
-// InRegion returns places that say no more than that some engine of the region holds
-// the chains: each chain once.
+// InRegion returns one place per chain, with the key of the region in place of the server. Other
+// regions need only know that some engine of the region holds the chain.
 func InRegion(region string, places []Place) []Place {
 	key := Key(region)
 	seen := map[uint32]bool{}
@@ -99,22 +99,22 @@
 	return out
 }
 
-// Direct returns the places from a position on that entry hosts told here, for the
-// other control hosts.
+// Direct returns the places from a position on that entry hosts reported to this control host,
+// for forwarding to other control hosts, and the position for the next call.
 func (l *Log) Direct(from uint64) ([]Place, uint64) {
-	return l.from(from, func(e entry) bool { return e.origin != "" })
+	return l.filterFrom(from, func(e entry) bool { return e.origin != "" })
 }
 
-// OfDomain returns the places from a position on that entry hosts told here or to another
-// control host of the failure domain.
+// OfDomain returns the places from a position on that entry hosts reported to this control host or to
+// another one of its failure domain, and the position for the next call.
 func (l *Log) OfDomain(from uint64) ([]Place, uint64) {
-	return l.from(from, func(e entry) bool { return e.origin != "" || e.domain })
+	return l.filterFrom(from, func(e entry) bool { return e.origin != "" || e.sameDomain })
 }
 
-func (l *Log) from(position uint64, wanted func(entry) bool) ([]Place, uint64) {
+func (l *Log) filterFrom(position uint64, wanted func(entry) bool) ([]Place, uint64) {
 	next := l.first + uint64(len(l.entries))
 	if position > next {
-		position = l.first // the log of an earlier process
+		position = l.first // a position in the log of an earlier process
 	}
 	var out []Place
 	for _, e := range l.entries[max(position, l.first)-l.first:] {
@@ -125,20 +125,20 @@
 	return out, next
 }
 
-// perChain is how many holders of a chain are kept: the newest ones. A chain that more
-// engines hold is hot, and any of these will do.
-const perChain = 6
+// maxHoldersPerChain bounds the holders kept for a chain; the newest are kept. A chain with more
+// holders is hot, and its newest holders are enough to choose from.
+const maxHoldersPerChain = 6
 
-// forgetAfter is how long a holder is kept in the table.
-const forgetAfter = 30 * time.Second
+// holderTTL is how long a chain stays in the table after its last use.
+const holderTTL = 30 * time.Second
 
 // Holder is an engine that probably holds a chain.
 type Holder struct {
 	Server uint32
-	Used   time.Time // when a prompt with the chain was last sent there, as heard
+	Used   time.Time // when the last prompt with the chain was recorded
 }
 
-// Table is an entry host's view. It is not safe for concurrent use.
+// Table maps chains to their probable holders, for one entry host. It is not safe for concurrent use.
 type Table struct{ chains map[uint32][]Holder }
 
 // NewTable returns an empty table.
@@ -154,19 +154,19 @@
 		}
 	}
 	list = append(list, Holder{p.Server, now})
-	if len(list) > perChain {
+	if len(list) > maxHoldersPerChain {
 		list = list[1:]
 	}
 	t.chains[p.Chain] = list
 }
 
-// Of returns the chain's holders, the newest last.
+// Of returns the chain's holders, the most recently used last.
 func (t *Table) Of(chain uint32) []Holder { return t.chains[chain] }
 
-// Forget drops what is too old to be of use.
+// Forget deletes chains that have not been used within holderTTL.
 func (t *Table) Forget(now time.Time) {
 	for chain, list := range t.chains {
-		if now.Sub(list[len(list)-1].Used) > forgetAfter {
+		if now.Sub(list[len(list)-1].Used) > holderTTL {
 			delete(t.chains, chain)
 		}
 	}
--- a/internal/core/holders/holders_test.go
+++ b/internal/core/holders/holders_test.go
@@ -14,61 +14,62 @@
 	return out
 }
 
-// TestLogHandsOn lets two entry hosts and another control host tell places.
-func TestLogHandsOn(t *testing.T) {
+// TestLogFiltersByOrigin adds places from two entry hosts and from a control host, and checks
+// what each reader gets.
+func TestLogFiltersByOrigin(t *testing.T) {
 	var l Log
 	l.Add("a", places(2, 10))
 	l.Add("b", places(1, 20))
 	l.Add("", places(1, 30))
 	got, next := l.For("a", 0)
 	if !slices.Equal(got, append(places(1, 20), places(1, 30)...)) {
-		t.Errorf("a is told %v", got)
+		t.Errorf("places for host a: %v", got)
 	}
 	if again, _ := l.For("a", next); len(again) != 0 {
-		t.Errorf("a is told again: %v", again)
+		t.Errorf("places for host a a second time: %v", again)
 	}
 	if direct, _ := l.Direct(0); !slices.Equal(direct, append(places(2, 10), places(1, 20)...)) {
-		t.Errorf("control hosts are told %v", direct)
+		t.Errorf("places for control hosts: %v", direct)
 	}
 }
 
-// TestLogIsBounded checks positions before the oldest entry, and of another process.
+// TestLogIsBounded reads from a position before the oldest entry and from one of another process.
 func TestLogIsBounded(t *testing.T) {
 	var l Log
-	l.Add("a", places(logLength+100, 0))
+	l.Add("a", places(maxLogEntries+100, 0))
 	got, next := l.For("b", 5)
-	if len(got) != logLength || got[0].Chain != 100 || next != logLength+100 {
+	if len(got) != maxLogEntries || got[0].Chain != 100 || next != maxLogEntries+100 {
 		t.Errorf("%d places from %d, next %d", len(got), got[0].Chain, next)
 	}
-	if got, _ := l.For("b", next+999); len(got) != logLength {
+	if got, _ := l.For("b", next+999); len(got) != maxLogEntries {
 		t.Errorf("a position of another process gives %d places", len(got))
 	}
 }
 
 func TestTableKeepsTheNewestHolders(t *testing.T) {
 	table, t0 := NewTable(), time.Unix(100, 0)
-	for i := range perChain + 2 {
+	for i := range maxHoldersPerChain + 2 {
 		table.Note(Place{1, uint32(i)}, t0.Add(time.Duration(i)*time.Second))
 	}
 	table.Note(Place{1, 3}, t0.Add(time.Minute))
 	list := table.Of(1)
-	if len(list) != perChain || list[0].Server != 2 || list[perChain-1].Server != 3 {
+	if len(list) != maxHoldersPerChain || list[0].Server != 2 || list[maxHoldersPerChain-1].Server != 3 {
 		t.Errorf("holders %v", list)
 	}
-	table.Forget(t0.Add(time.Minute + forgetAfter))
+	table.Forget(t0.Add(time.Minute + holderTTL))
 	if len(table.Of(1)) == 0 {
 		t.Error("a chain in use was dropped")
 	}
 	table.Forget(t0.Add(2 * time.Minute))
 	if len(table.Of(1)) != 0 {
-		t.Error("an old chain was kept")
+		t.Error("an expired chain was kept")
 	}
 }
 
-// TestOtherRegionsAreToldChainsOnly checks that a region stands for its servers.
-func TestOtherRegionsAreToldChainsOnly(t *testing.T) {
+// TestInRegionReplacesServers checks that InRegion returns each chain once, with the region's key.
+func TestInRegionReplacesServers(t *testing.T) {
 	got := InRegion("west", []Place{{1, 10}, {2, 10}, {1, 11}})
 	if want := []Place{{1, Key("west")}, {2, Key("west")}}; !slices.Equal(got, want) {
-		t.Errorf("told %v, want %v", got, want)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
--- a/internal/core/serverload/serverload.go
+++ b/internal/core/serverload/serverload.go
@@ -1,7 +1,8 @@
-// Package serverload is the work that entry hosts have under way at backend servers, as
-// they tell it to each other through the control hosts. Servers are named by the keys of
-// package holders: a busy server's figures take 14 bytes instead of 27, four times a second
-// to each entry host of its region. Two servers with one key share their figures.
+// Package serverload represents the work that entry hosts have in flight at backend servers,
+// which they exchange through the control hosts. Servers are identified by 4-byte keys (see
+// package holders) rather than IDs: the load of a busy server then takes 14 bytes instead of 27, and
+// is sent four times a second to each entry host of its region. Two servers whose keys collide
+// share one load.
 package serverload
 
 import (
@@ -12,16 +13,16 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Load is the work at one server.
+// Load is the work in flight at one backend server.
 type Load struct {
 	Requests     uint32
-	PromptTokens uint32 // not yet read, about
-	MemoryTokens uint32 // of KV cache, about
-	ReadingMS    uint32 // of prompts sent, in ms of reading per second
-	Deferred     uint32 // requests that wait behind all others, not counted in Requests
+	PromptTokens uint32 // estimated prompt tokens that await prefill
+	MemoryTokens uint32 // estimated tokens in the KV cache
+	ReadingMS    uint32 // prefill time of the prompts sent, in ms per second
+	Deferred     uint32 // requests queued behind all others, not counted in Requests
 }
 
-// Loads is work by the servers' keys.
+// Loads maps server keys to loads.
 type Loads map[uint32]Load
 
 // Plus returns the sum of two loads.
@@ -29,20 +30,20 @@
 	return Load{l.Requests + m.Requests, l.PromptTokens + m.PromptTokens, l.MemoryTokens + m.MemoryTokens, l.ReadingMS + m.ReadingMS, l.Deferred + m.Deferred}
 }
 
-// Minus returns what is left of a load. Of a smaller one it is a difference to be added
-// somewhere: the figures wrap around.
+// Minus returns the difference of two loads. Where m is larger the unsigned fields wrap around,
+// and adding the result to another load subtracts the difference.
 func (l Load) Minus(m Load) Load {
 	return Load{l.Requests - m.Requests, l.PromptTokens - m.PromptTokens, l.MemoryTokens - m.MemoryTokens, l.ReadingMS - m.ReadingMS, l.Deferred - m.Deferred}
 }
 
-// Add adds the work of other hosts.
+// Add adds more to l, key by key.
 func (l Loads) Add(more Loads) {
 	for key, m := range more {
 		l[key] = l[key].Plus(m)
 	}
 }
 
-// Sub takes away work that was added before.
+// Sub subtracts loads that were added before, and deletes keys whose load becomes zero.
 func (l Loads) Sub(less Loads) {
 	for key, m := range less {
 		if left := l[key].Minus(m); left == (Load{}) {
@@ -53,8 +54,8 @@
 	}
 }
 
-// Without returns the loads less a part of them. Where the part is not in them it counts as
-// nothing: whoever counts may have left it out.
+// Without returns a copy of l less part. Each field is reduced to zero at most, because the
+// control host that built l may not have included all of part.
 func (l Loads) Without(part Loads) Loads {
 	out := maps.Clone(l)
 	for key, p := range part {
@@ -75,8 +76,7 @@
 	return out
 }
 
-// Take puts changed figures in the place of earlier ones. Where there is no work any more
-// the figure is zero.
+// Take replaces the loads at the changed keys. A zero load deletes its key.
 func (l Loads) Take(changed Loads) {
 	for key, m := range changed {
 		if m == (Load{}) {
@@ -87,10 +87,11 @@
 	}
 }
 
-// ServiceKey is the key under which the arrivals of a plain service's requests stand.
+// ServiceKey returns the key under which the arrivals of a service's requests are counted, in
+// Load.Requests.
 func ServiceKey(service string) uint32 { return holders.Key("service\x00" + service) }
 
-// Encode returns the message that holds the loads, sorted by key; nil for none.
+// Encode returns the message for the loads, sorted by key; nil if there are none.
 func Encode(l Loads) *pb.ServerLoads {
 	if len(l) == 0 {
 		return nil
@@ -108,19 +109,19 @@
 	return m
 }
 
-// Decode returns the loads of a message. Figures that are missing are 0.
+// Decode returns the loads of a message. Values missing from shorter lists are 0.
 func Decode(m *pb.ServerLoads) Loads {
 	out := make(Loads, len(m.GetServer()))
 	for i, key := range m.GetServer() {
 		out[key] = Load{
-			Requests: at(m.Requests, i), PromptTokens: at(m.PromptTokens, i), MemoryTokens: at(m.MemoryTokens, i),
-			ReadingMS: at(m.ReadingMs, i), Deferred: at(m.Deferred, i),
+			Requests: valueAt(m.Requests, i), PromptTokens: valueAt(m.PromptTokens, i), MemoryTokens: valueAt(m.MemoryTokens, i),
+			ReadingMS: valueAt(m.ReadingMs, i), Deferred: valueAt(m.Deferred, i),
 		}
 	}
 	return out
 }
 
-func at(list []uint32, i int) uint32 {
+func valueAt(list []uint32, i int) uint32 {
 	if i < len(list) {
 		return list[i]
 	}
--- a/internal/core/serverload/serverload_test.go
+++ b/internal/core/serverload/serverload_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestDecodeShort takes a message whose lists have different lengths.
+// TestDecodeShort decodes a message whose lists have different lengths.
 func TestDecodeShort(t *testing.T) {
 	got := Decode(&pb.ServerLoads{Server: []uint32{1, 2}, Requests: []uint32{5}, Deferred: []uint32{1, 2, 3}})
 	if want := (Loads{1: {Requests: 5, Deferred: 1}, 2: {Deferred: 2}}); !maps.Equal(got, want) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestWithout takes a part away that is in the loads in full, in part or not at all.
+// TestWithout subtracts loads that are contained fully, partly or not at all.
 func TestWithout(t *testing.T) {
 	all := Loads{1: {5, 10, 5, 3, 4}, 2: {Requests: 2}, 3: {Requests: 1}}
 	got := all.Without(Loads{1: {Requests: 2, MemoryTokens: 9}, 2: {Requests: 2}, 4: {Requests: 7}})
@@ -63,11 +63,11 @@
 		t.Errorf("got %v, want %v", got, want)
 	}
 	if len(all) != 3 {
-		t.Error("the loads themselves changed")
+		t.Error("Without modified its receiver")
 	}
 }
 
-// TestTake puts changes in the place of earlier figures.
+// TestTake replaces, deletes and adds loads.
 func TestTake(t *testing.T) {
 	l := Loads{1: {Requests: 5}, 2: {Requests: 2}}
 	l.Take(Loads{1: {Requests: 4}, 2: {}, 3: {Deferred: 1}, 9: {}})
--- a/internal/core/speed/speed.go
+++ b/internal/core/speed/speed.go
@@ -1,140 +1,148 @@
-// Package speed learns from answers how fast the servers of a service work: how many tokens
-// of a prompt a model engine reads in a ms, how long an answer takes to begin without
-// reading, how long a request keeps a slot, and how long a plain service takes. It does no I/O and reads no clock.
+// Package speed estimates from observed answers how fast the backend servers of a service
+// work: a model engine's prefill rate in tokens per ms, the time to its first event without
+// prefill, how long a request occupies a slot, and the answer time of a plain service. It
+// does no I/O and reads no clock.
 //
-// The figures are medians of the newest samples, so that a few engines in trouble, or a few
-// prompts of which the engine held more or less than expected, don't move them.
+// All estimates but the slot time are medians of the newest samples, so that a few slow
+// engines, or a few prompts of which the engine had cached more or less than expected, do not
+// move them.
 package speed
 
 import "slices"
 
-// Start values and bounds. A host uses the start values for its first samples only. That of
-// the rate is on the slow side of what engines reach, 10 to 300: taking engines for quicker
-// than they are lets more in than they can answer in time, which costs more than waiting.
+// Initial values and bounds. The initial values apply until enough samples are recorded. The
+// initial prefill rate is at the low end of what engines reach, 10 to 300 tokens per ms:
+// overestimating the rate admits more than the engines can answer in time, which costs more
+// than queueing.
 const (
-	startRate   = 30.0 // tokens per ms
-	minRate     = 5.0
-	maxRate     = 1000.0
-	startBegin  = 45.0 // ms
-	startAnswer = 40.0 // ms
-	startHold   = 1000.0
-	maxBegin    = 2000.0
-	maxHold     = 60_000.0
+	initialTokensPerMS = 30.0
+	minTokensPerMS     = 5.0
+	maxTokensPerMS     = 1000.0
+	initialBeginMS     = 45.0
+	initialAnswerMS    = 40.0
+	initialHoldMS      = 1000.0
+	maxBeginMS         = 2000.0
+	maxHoldMS          = 60_000.0
 )
 
-// Samples that are used.
+// Selection of samples.
 const (
-	// kept is how many samples a median is taken of: a host with two long prompts a second
-	// follows a change of all engines within ten seconds.
-	kept = 32
-	// enough is from how many samples on a median of prompts' times is trusted: other delays
-	// outweigh the reading in some of them.
-	enough = 10
-	// enoughAnswers is the same for plain answers, whose times differ little.
-	enoughAnswers = 3
-	// minReading is the size from which a prompt's time tells of reading, in tokens: with
-	// less, the start of the answer outweighs it on a quick engine.
-	minReading = 1000.0
-	// maxStarting is the size up to which a prompt's time tells of the start of its answer:
-	// reading so much takes a step or two.
-	maxStarting = 400.0
-	// maxAhead is the share of its own reading that may wait before a prompt whose time is
-	// used: what others have under way is known 0.3 s late.
-	maxAhead = 0.25
-	// maxAheadStarting is the same for prompts that tell of the start, in tokens.
-	maxAheadStarting = 200.0
+	// sampleWindow is the number of samples in a median. At two long prompts per second, a
+	// change of all engines moves the median within 10 s.
+	sampleWindow = 32
+	// minPromptSamples is the number of samples from which on a median of prompt times replaces
+	// the initial value. It is higher than minAnswerSamples because other delays outweigh the
+	// prefill in some samples.
+	minPromptSamples = 10
+	// minAnswerSamples is the same for answers of plain services, whose times vary little.
+	minAnswerSamples = 3
+	// minPrefillTokens is the smallest prefill that is sampled for the rate, in tokens: below
+	// it, the fixed time to the first event outweighs the prefill time on a fast engine.
+	minPrefillTokens = 1000.0
+	// maxShortPromptTokens is the largest prefill that is sampled for the time to the first
+	// event, in tokens: it takes the engine one or two steps.
+	maxShortPromptTokens = 400.0
+	// maxAheadShare limits the prefill queued ahead of a sampled long prompt, as a share of the
+	// prompt's own prefill: the work of other entry hosts is known with a delay of 0.3 s.
+	maxAheadShare = 0.25
+	// maxAheadTokens is the same limit for short prompts, in tokens.
+	maxAheadTokens = 200.0
 )
 
-// Sample is one answer of an engine.
+// Sample is one observed answer of an engine.
 type Sample struct {
-	Read    float64 // tokens of the prompt that the engine had to read
-	Ahead   float64 // tokens of other prompts that were to be read before
-	FirstMS float64 // time to the first event
+	Read    float64 // prompt tokens that the engine had to prefill
+	Ahead   float64 // prefill tokens of other prompts queued ahead of it
+	FirstMS float64 // time from the request to the first event, in ms
 }
 
-// Estimator holds the figures of one service. It is not safe for concurrent use.
+// Estimator holds the estimates of one service. It is not safe for concurrent use.
 type Estimator struct {
-	reading, begin, answer median
-	hold                   mean
+	prefillMSPerToken, begin, answer median
+	hold                             mean
 }
 
-// New returns an estimator that begins with a rate of reading, in tokens per ms; 0 for the
-// start value.
+// New returns an estimator with an initial prefill rate in tokens per ms; 0 selects the
+// default.
 func New(rate float64) *Estimator {
 	if rate <= 0 {
-		rate = startRate
+		rate = initialTokensPerMS
 	}
 	return &Estimator{
-		reading: median{value: 1 / rate, enough: enough}, begin: median{value: startBegin, enough: enough},
-		answer: median{value: startAnswer, enough: enoughAnswers},
-		hold:   mean{value: startHold},
+		prefillMSPerToken: median{value: 1 / rate, minSamples: minPromptSamples}, begin: median{value: initialBeginMS, minSamples: minPromptSamples},
+		answer: median{value: initialAnswerMS, minSamples: minAnswerSamples},
+		hold:   mean{value: initialHoldMS},
 	}
 }
 
-// Rate returns the tokens that an engine reads in a ms.
-func (e *Estimator) Rate() float64 { return min(maxRate, max(minRate, 1/e.reading.value)) }
+// Rate returns the prefill rate of an engine in tokens per ms.
+func (e *Estimator) Rate() float64 {
+	return min(maxTokensPerMS, max(minTokensPerMS, 1/e.prefillMSPerToken.value))
+}
 
-// BeginMS returns the time from a request to its first event without reading, in ms.
-func (e *Estimator) BeginMS() float64 { return min(maxBegin, e.begin.value) }
+// BeginMS returns the time from a request to its first event without prefill, in ms.
+func (e *Estimator) BeginMS() float64 { return min(maxBeginMS, e.begin.value) }
 
-// AnswerMS returns the time of an answer of a plain service, in ms.
-func (e *Estimator) AnswerMS() float64 { return min(maxBegin, e.answer.value) }
+// AnswerMS returns the answer time of a plain service, in ms.
+func (e *Estimator) AnswerMS() float64 { return min(maxBeginMS, e.answer.value) }
 
-// HoldMS returns how long a request keeps a slot of an engine, from its answer's first event to
-// the last, in ms. It is a mean: the wait for a slot is the sum of what others take.
-func (e *Estimator) HoldMS() float64 { return min(maxHold, e.hold.value) }
+// HoldMS returns how long a request occupies a slot of an engine, from the first event of its
+// answer to the last, in ms. It is a mean and not a median because the wait for a slot is the
+// sum of the times of the requests ahead.
+func (e *Estimator) HoldMS() float64 { return min(maxHoldMS, e.hold.value) }
 
-// End takes the time from the first to the last event of an engine's whole answer.
+// End records the time in ms from the first to the last event of an engine's complete answer.
 func (e *Estimator) End(ms float64) {
 	if ms > 0 {
-		e.hold.add(min(ms, maxHold))
+		e.hold.add(min(ms, maxHoldMS))
 	}
 }
 
-// Samples returns the number of samples of prompts, for logs and metrics.
-func (e *Estimator) Samples() int { return len(e.reading.samples) }
+// Samples returns the number of prefill samples held, for logs and metrics.
+func (e *Estimator) Samples() int { return len(e.prefillMSPerToken.samples) }
 
-// Event takes the first event of an engine's answer.
+// Event records the first event of an engine's answer. It ignores prompts of intermediate size
+// and prompts with too much prefill queued ahead.
 func (e *Estimator) Event(s Sample) {
 	switch {
 	case s.FirstMS <= 0:
-	case s.Read >= minReading && s.Ahead <= maxAhead*s.Read:
+	case s.Read >= minPrefillTokens && s.Ahead <= maxAheadShare*s.Read:
 		if ms := s.FirstMS - e.BeginMS(); ms > 0 {
-			e.reading.add(ms / (s.Read + s.Ahead))
+			e.prefillMSPerToken.add(ms / (s.Read + s.Ahead))
 		}
-	case s.Read <= maxStarting && s.Ahead <= maxAheadStarting:
+	case s.Read <= maxShortPromptTokens && s.Ahead <= maxAheadTokens:
 		e.begin.add(max(1, s.FirstMS-(s.Read+s.Ahead)/e.Rate()))
 	}
 }
 
-// Answer takes the time that a plain service's answer takes while it has free slots.
+// Answer records the answer time in ms of a plain service that had free slots.
 func (e *Estimator) Answer(ms float64) {
 	if ms > 0 {
 		e.answer.add(ms)
 	}
 }
 
-// mean is a moving mean of the newest samples.
+// mean is an exponential moving mean with weight 1/sampleWindow for the newest sample.
 type mean struct{ value float64 }
 
-func (m *mean) add(v float64) { m.value += (v - m.value) / kept }
+func (m *mean) add(v float64) { m.value += (v - m.value) / sampleWindow }
 
 // median keeps the newest samples and their median.
 type median struct {
-	samples []float64
-	next    int
-	value   float64
-	enough  int // samples from which on the median is trusted
+	samples    []float64
+	next       int
+	value      float64
+	minSamples int // number of samples from which on value is the median
 }
 
 func (m *median) add(v float64) {
-	if len(m.samples) < kept {
+	if len(m.samples) < sampleWindow {
 		m.samples = append(m.samples, v)
 	} else {
 		m.samples[m.next] = v
 	}
-	m.next = (m.next + 1) % kept
-	if len(m.samples) < m.enough {
+	m.next = (m.next + 1) % sampleWindow
+	if len(m.samples) < m.minSamples {
 		return
 	}
 	sorted := slices.Sorted(slices.Values(m.samples))
