--- a/internal/core/registry/census.go
+++ b/internal/core/registry/census.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// DomainCensus counts what is there of a failure domain.
+// DomainCensus counts the live entry hosts and listed backend servers of a failure domain.
 type DomainCensus struct {
 	Name, Region                   string
 	Hosts, Ready, Presented, Owned int // live entry hosts
-	Servers, HeardHere             int // listed ones
-	// The live entry host and the listed server that were heard longest ago; "" for none.
+	Servers, HeardHere             int // listed backend servers
+	// The live entry host and the listed server whose last message is the oldest; "" for none.
 	OldestHost, OldestServer       string
 	OldestHostAge, OldestServerAge time.Duration
 }
 
-// Census counts what is there of each failure domain, sorted by name.
+// Census returns the counts of each failure domain, sorted by name.
 func (r *Registry) Census(now time.Time) []DomainCensus {
 	domains := map[string]*DomainCensus{}
 	for name, region := range r.o.Regions {
--- a/internal/core/registry/census_test.go
+++ b/internal/core/registry/census_test.go
@@ -10,11 +10,11 @@
 	far.Direct = false
 	r.HearHost(far, at(300))
 	r.HearHost(host("gone", "west", "w1", true, -9000), at(0))
-	r.Announce(beat("s1", "x1", 1, 100), at(100))
-	second := beat("s2", "x2", 1, 50)
-	second.Direct, second.Via = at(-1), "w2" // heard by another control host
+	r.Announce(announcement("s1", "x1", 1, 100), at(100))
+	second := announcement("s2", "x2", 1, 50)
+	second.Direct, second.Via = at(-1), "w2" // received by another control host
 	r.Announce(second, at(100))
-	r.Announce(beat("s3", "x3", 1, 10), at(10))
+	r.Announce(announcement("s3", "x3", 1, 10), at(10))
 	r.Leave("s3", 0, at(20))
 	domains := r.Census(at(400))
 	if len(domains) != 3 || domains[1].Name != "w1" || domains[0].Hosts != 0 {
--- a/internal/core/registry/changes.go
+++ b/internal/core/registry/changes.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// change is an entry of the log of what entry hosts must learn.
+// change is an entry in the log of changes that are sent to entry hosts.
 type change struct {
 	version uint64
 	server  bool // else an entry host
 	id      string
 }
 
-// Bounds of what is remembered. Whoever is further behind gets whole lists.
+// Bounds of the logs, in entries. A reader whose position was dropped gets complete lists.
 const (
-	changesKept = 1 << 14
-	heardKept   = 1 << 14 // announcements
+	maxChanges       = 1 << 14
+	maxAnnouncements = 1 << 14
 )
 
-// Changes is what entry hosts of a region must learn, beside when servers were heard.
+// Changes holds the changes that are sent to entry hosts of a region. The times of announcements
+// are not part of it; see HeardSince.
 type Changes struct {
 	Servers        []*Server // new, changed or gone
-	RemovedServers []string  // whose lease ran out
+	RemovedServers []string  // expired or deleted
 	Hosts          []*Host
 	RemovedHosts   []string
 }
 
-// noteServer records a change of a server that entry hosts must learn.
-func (r *Registry) noteServer(s *Server) { s.changed = r.note(true, s.ID) }
+// recordServerChange records a change of a server that must be sent to entry hosts.
+func (r *Registry) recordServerChange(s *Server) { s.changedVersion = r.recordChange(true, s.ID) }
 
-// noteHost records a change of an entry host that other hosts must learn.
-func (r *Registry) noteHost(h *Host) { h.changed = r.note(false, h.ID) }
+// recordHostChange records a change of an entry host that must be sent to other hosts.
+func (r *Registry) recordHostChange(h *Host) { h.changedVersion = r.recordChange(false, h.ID) }
 
-func (r *Registry) note(server bool, id string) uint64 {
+func (r *Registry) recordChange(server bool, id string) uint64 {
 	r.version++
 	r.changes = append(r.changes, change{r.version, server, id})
-	if n := len(r.changes) - changesKept; n > 0 {
-		r.forgotten = r.changes[n-1].version
+	if n := len(r.changes) - maxChanges; n > 0 {
+		r.trimmedVersion = r.changes[n-1].version
 		r.changes = r.changes[n:]
 	}
 	return r.version
 }
 
-// Since returns what changed after a version for entry hosts of a region. It reports whether
-// all of it is still remembered. Its cost grows with the changes, not with the fleet: each
-// entry host asks several times a second.
+// Since returns the changes after a version for entry hosts of a region. It reports whether the
+// log still holds all of them. Its cost grows with the changes and not with the fleet, because
+// each entry host calls it several times a second.
 func (r *Registry) Since(version uint64, region string, now time.Time) (c Changes, complete bool) {
-	if version < r.forgotten {
+	if version < r.trimmedVersion {
 		return c, false
 	}
 	from := sort.Search(len(r.changes), func(i int) bool { return r.changes[i].version > version })
@@ -65,10 +66,10 @@
 	switch s := r.servers[e.id]; {
 	case s == nil:
 		c.RemovedServers = append(c.RemovedServers, e.id)
-	case s.changed != e.version: // it changed again later
+	case s.changedVersion != e.version: // a later entry covers it
 	case !s.Gone && s.unlisted:
 		c.RemovedServers = append(c.RemovedServers, e.id)
-	case r.concerns(s, region):
+	case r.relevantTo(s, region):
 		c.Servers = append(c.Servers, s)
 	}
 }
@@ -77,7 +78,7 @@
 	switch h := r.hosts[e.id]; {
 	case h == nil:
 		c.RemovedHosts = append(c.RemovedHosts, e.id)
-	case h.changed != e.version: // it changed again later
+	case h.changedVersion != e.version: // a later entry covers it
 	case r.live(h, now):
 		c.Hosts = append(c.Hosts, h)
 	default:
@@ -85,40 +86,41 @@
 	}
 }
 
-// concerns reports whether entry hosts of a region are told of a server: one of the region,
-// or one that left before it was known where it is.
-func (r *Registry) concerns(s *Server, region string) bool {
+// relevantTo reports whether a server is sent to entry hosts of a region: it is in the region, or
+// it left before its failure domain was known.
+func (r *Registry) relevantTo(s *Server, region string) bool {
 	of := r.RegionOf(s.FailureDomain)
 	return of == region || (s.Gone && of == "")
 }
 
-// noteHeard records that something was heard of a server.
-func (r *Registry) noteHeard(s *Server) {
-	r.heard = append(r.heard, s)
-	s.heardAt = r.heardFirst + uint64(len(r.heard))
-	if n := len(r.heard) - heardKept; n > 0 {
-		r.heard = r.heard[n:]
-		r.heardFirst += uint64(n)
+// recordAnnouncement appends a server to the log of announcements and leaves.
+func (r *Registry) recordAnnouncement(s *Server) {
+	r.announcementLog = append(r.announcementLog, s)
+	s.logPosition = r.announcementLogStart + uint64(len(r.announcementLog))
+	if n := len(r.announcementLog) - maxAnnouncements; n > 0 {
+		r.announcementLog = r.announcementLog[n:]
+		r.announcementLogStart += uint64(n)
 	}
 }
 
-// HeardSince returns the servers of which something was heard after a position, each once,
-// and the position to go on from. It reports whether the position is still remembered.
+// HeardSince returns the servers that announced themselves or left after a position in the log,
+// each once, and the position for the next call. It reports whether the log still reaches back to
+// the position.
 func (r *Registry) HeardSince(position uint64) (servers []*Server, next uint64, complete bool) {
-	next = r.heardFirst + uint64(len(r.heard))
-	if position < r.heardFirst || position > next {
+	next = r.announcementLogStart + uint64(len(r.announcementLog))
+	if position < r.announcementLogStart || position > next {
 		return nil, next, false
 	}
-	for i, s := range r.heard[position-r.heardFirst:] {
-		if s.heardAt == position+uint64(i)+1 { // else it was heard again later
+	for i, s := range r.announcementLog[position-r.announcementLogStart:] {
+		if s.logPosition == position+uint64(i)+1 { // otherwise a later entry names the server again
 			servers = append(servers, s)
 		}
 	}
 	return servers, next, true
 }
 
-// List returns the region's servers that entry hosts are told of, sorted by ID. One whose
-// lease has run out stays until that is told.
+// List returns the listed servers of the region, sorted by ID. A server whose lease has run out
+// stays listed until Expire records that.
 func (r *Registry) List(region string) []*Server {
 	out, ok := r.lists[region]
 	if ok {
@@ -134,12 +136,12 @@
 	return out
 }
 
-// Gone returns the servers that are gone: the region's, and those that left before it was
-// known where they are.
+// Gone returns the region's servers that are gone and those that left before their failure domain
+// was known, sorted by ID.
 func (r *Registry) Gone(region string) []*Server {
 	var out []*Server
 	for _, s := range r.servers {
-		if s.Gone && r.concerns(s, region) {
+		if s.Gone && r.relevantTo(s, region) {
 			out = append(out, s)
 		}
 	}
@@ -152,7 +154,7 @@
 	return out
 }
 
-// Listed reports whether entry hosts of a region have the server on their list.
+// Listed reports whether the server is on the list that entry hosts of a region get.
 func (r *Registry) Listed(s *Server, region string) bool {
 	return s.listed() && r.RegionOf(s.FailureDomain) == region
 }
--- a/internal/core/registry/changes_test.go
+++ b/internal/core/registry/changes_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestListAndChanges plays announcements, a lapse and a leave, and checks who is listed
-// and what is told of them after the version before each step.
+// TestListAndChanges applies announcements, a lease expiry and leaves, and checks after each step
+// which servers are listed and which changes Since returns for the version before the step.
 func TestListAndChanges(t *testing.T) {
 	r := newRegistry()
 	check := func(step string, since uint64, now int, listed, changed, removed []string) {
@@ -29,51 +29,51 @@
 			t.Errorf("%s: listed %v, changed %v, removed %v, complete %v", step, l, c, changes.RemovedServers, complete)
 		}
 		if far, _ := r.Since(since, "east", at(now)); len(far.Servers) > 0 && far.Servers[0].FailureDomain != "" {
-			t.Errorf("%s: another region is told %v", step, far.Servers)
+			t.Errorf("%s: another region gets %v", step, far.Servers)
 		}
 	}
 	since := r.Version()
-	r.Announce(beat("a", "x", 1, 0), at(0))
-	r.Announce(beat("b", "y", 1, 1000), at(1000))
+	r.Announce(announcement("a", "x", 1, 0), at(0))
+	r.Announce(announcement("b", "y", 1, 1000), at(1000))
 	check("two announced", since, 1000, []string{"a", "b"}, []string{"a", "b"}, nil)
 	since = r.Version()
-	r.Announce(beat("b", "y", 2, 2000), at(2000))
-	check("no news", since, 2000, []string{"a", "b"}, nil, nil)
+	r.Announce(announcement("b", "y", 2, 2000), at(2000))
+	check("unchanged announcement", since, 2000, []string{"a", "b"}, nil, nil)
 	r.Expire(at(3500), at(3700))
 	check("a lapsed", since, 3700, []string{"b"}, nil, []string{"a"})
 	since = r.Version()
 	r.Expire(at(3700), at(3800))
-	check("told once", since, 3800, []string{"b"}, nil, nil)
-	r.Announce(beat("a", "x", 2, 3900), at(3900))
+	check("expiry reported once", since, 3800, []string{"b"}, nil, nil)
+	r.Announce(announcement("a", "x", 2, 3900), at(3900))
 	check("a is back", since, 3900, []string{"a", "b"}, []string{"a"}, nil)
 	since = r.Version()
 	r.Leave("b", 0, at(4000))
 	check("b left", since, 4000, []string{"a"}, []string{"b gone"}, nil)
 	since = r.Version()
-	r.Leave("never-heard", 0, at(4100))
-	check("one left that was never heard", since, 4100, []string{"a"}, []string{"never-heard gone"}, nil)
+	r.Leave("never-announced", 0, at(4100))
+	check("unknown server left", since, 4100, []string{"a"}, []string{"never-announced gone"}, nil)
 	since = r.Version()
-	r.Expire(at(4100), at(4100).Add(goneFor+time.Second))
-	check("forgotten", since, 4100, nil, nil, []string{"a"})
+	r.Expire(at(4100), at(4100).Add(goneRetention+time.Second))
+	check("entries deleted", since, 4100, nil, nil, []string{"a"})
 }
 
-// TestChangesAreBounded: a host that missed too much gets whole lists.
+// TestChangesAreBounded checks that Since reports a version older than the log as incomplete.
 func TestChangesAreBounded(t *testing.T) {
 	r := newRegistry()
 	start := r.Version()
-	for i := range changesKept + 1 {
-		r.note(false, fmt.Sprint("h", i))
+	for i := range maxChanges + 1 {
+		r.recordChange(false, fmt.Sprint("h", i))
 	}
 	if _, complete := r.Since(start, "west", at(0)); complete {
-		t.Error("complete, though the first change is forgotten")
+		t.Error("complete, though the first change was dropped")
 	}
-	if c, complete := r.Since(start+1, "west", at(0)); !complete || len(c.RemovedHosts) != changesKept {
+	if c, complete := r.Since(start+1, "west", at(0)); !complete || len(c.RemovedHosts) != maxChanges {
 		t.Errorf("%d changes, complete %v", len(c.RemovedHosts), complete)
 	}
 }
 
-// TestHostsAreRemovedOnce: an entry host whose lease ran out.
-func TestHostsAreRemovedOnce(t *testing.T) {
+// TestExpiredHostIsRemovedOnce checks that the expiry of an entry host's lease is reported once.
+func TestExpiredHostIsRemovedOnce(t *testing.T) {
 	r := newRegistry()
 	r.HearHost(host("h", "west", "w1", true, 0), at(0))
 	since := r.Version()
@@ -85,17 +85,17 @@
 	r.Expire(at(1600), at(1700))
 	r.HearHost(host("h", "west", "w1", true, 1800), at(1800))
 	if c, _ := r.Since(since, "west", at(1800)); len(c.RemovedHosts) != 0 || len(c.Hosts) != 1 {
-		t.Errorf("removed %v, or its return is not told", c.RemovedHosts)
+		t.Errorf("removed %v, or its return is not reported", c.RemovedHosts)
 	}
 }
 
 // TestHeardSince reads the log of announcements from a position on: each server once, and
-// none from a position that is not remembered.
+// incomplete if the position was dropped or belongs to another process.
 func TestHeardSince(t *testing.T) {
 	r := newRegistry()
 	_, start, _ := r.HeardSince(0)
 	for i, id := range []string{"a", "b", "a"} {
-		r.Announce(beat(id, "x"+id, uint64(i+1), 100*i), at(100*i))
+		r.Announce(announcement(id, "x"+id, uint64(i+1), 100*i), at(100*i))
 	}
 	read := func(from uint64) (ids []string, next uint64, complete bool) {
 		servers, next, complete := r.HeardSince(from)
@@ -106,41 +106,42 @@
 	}
 	ids, next, complete := read(start)
 	if !slices.Equal(ids, []string{"b", "a"}) || !complete {
-		t.Errorf("heard %v, complete %v", ids, complete)
+		t.Errorf("announced %v, complete %v", ids, complete)
 	}
 	r.Leave("b", 0, at(400))
 	if ids, next, _ = read(next); !slices.Equal(ids, []string{"b"}) {
-		t.Errorf("heard after that %v", ids)
+		t.Errorf("logged after that %v", ids)
 	}
 	if _, _, complete := read(next + 1); complete {
-		t.Error("a position of another process counts")
+		t.Error("a position of another process was accepted")
 	}
-	for i := range heardKept {
-		r.Announce(beat("a", "xa", uint64(i+10), 500+i), at(500+i))
+	for i := range maxAnnouncements {
+		r.Announce(announcement("a", "xa", uint64(i+10), 500+i), at(500+i))
 	}
 	if _, _, complete := read(next - 1); complete {
-		t.Error("complete, though the first announcement is forgotten")
+		t.Error("complete, though the first announcement was dropped")
 	}
 }
 
-// TestHearHostAgain keeps a host alive that another control host told of once.
+// TestHearHostAgain checks that renewals from another control host keep an entry host live without
+// changing its entry.
 func TestHearHostAgain(t *testing.T) {
 	r := newRegistry()
 	far := host("h", "east", "e1", true, 0)
 	far.Direct = false
 	key := far.Key()
 	if r.HearHostAgain(key, true, true, "w1", at(0), at(0)) {
-		t.Error("a host that was never told of is known")
+		t.Error("a host that was never reported is known")
 	}
 	r.HearHost(far, at(0))
 	version := r.Version()
 	if !r.HearHostAgain(key, true, true, "w1", at(1400), at(1450)) || len(r.Hosts(at(2000))) != 1 {
-		t.Error("the host is not live, though heard again")
+		t.Error("the host is not live, though it was renewed")
 	}
 	if c, _ := r.Since(version, "west", at(2000)); r.Version() != version || len(c.Hosts) > 0 || r.Hosts(at(2000))[0].ChangedSince(version) {
-		t.Error("hearing it again changed the host")
+		t.Error("the renewal changed the host")
 	}
 	if r.HearHostAgain(key, true, true, "w1", at(1000), at(2000)); len(r.Hosts(at(2800))) != 1 {
-		t.Error("older news took the place of newer")
+		t.Error("an older renewal replaced a newer one")
 	}
 }
--- a/internal/core/registry/kept_test.go
+++ b/internal/core/registry/derived_test.go
@@ -11,8 +11,8 @@
 	"github.com/sesamefork/sesamefork/internal/core/serverload"
 )
 
-// TestKeptSumsAndLists plays random announcements, leaves, presentations and lapses, and
-// checks after each what the registry keeps against what its entries say.
+// TestKeptSumsAndLists applies random announcements, leaves, sync requests and expiries, and compares
+// the sums and lists that the registry maintains with ones computed from its entries.
 func TestKeptSumsAndLists(t *testing.T) {
 	for seed := range int64(50) {
 		rnd := rand.New(rand.NewSource(seed))
@@ -26,7 +26,7 @@
 			n := rnd.Intn(12)
 			switch rnd.Intn(5) {
 			case 0:
-				s := beat(fmt.Sprint("s", n), fmt.Sprint("x", rnd.Intn(10)), uint64(step), ms)
+				s := announcement(fmt.Sprint("s", n), fmt.Sprint("x", rnd.Intn(10)), uint64(step), ms)
 				s.FailureDomain = domains[n%len(domains)]
 				r.Announce(s, at(ms))
 			case 1:
@@ -39,7 +39,7 @@
 			}
 			r.Expire(at(expired), at(ms))
 			expired = ms
-			checkKept(t, r, ms)
+			checkDerivedState(t, r, ms)
 			if t.Failed() {
 				t.Fatalf("seed %d, step %d", seed, step)
 			}
@@ -47,7 +47,7 @@
 	}
 }
 
-func checkKept(t *testing.T, r *Registry, ms int) {
+func checkDerivedState(t *testing.T, r *Registry, ms int) {
 	t.Helper()
 	sum := serverload.Loads{}
 	for _, h := range r.Hosts(at(ms)) {
@@ -56,7 +56,7 @@
 		}
 	}
 	if got := r.DirectLoads(); !maps.Equal(got, sum) {
-		t.Errorf("sum kept %v, is %v", got, sum)
+		t.Errorf("maintained sum %v, computed %v", got, sum)
 	}
 	var listed, want []string
 	for _, s := range r.List("west") {
@@ -69,6 +69,6 @@
 	}
 	slices.Sort(want)
 	if !slices.Equal(listed, want) {
-		t.Errorf("listed %v, are %v", listed, want)
+		t.Errorf("listed %v, want %v", listed, want)
 	}
 }
--- a/internal/core/registry/hosts.go
+++ b/internal/core/registry/hosts.go
@@ -11,23 +11,25 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Host is an entry host. Its figures are owned by one control host at a time, to which it
-// tells them; others count them as part of that one's sum. The owner is the one to which the
-// host presented itself as its primary last, and for as long as a presentation holds.
+// Host is an entry host. Its loads are owned by one control host at a time, to which it sends
+// them; other control hosts receive them as part of the owner's sum. The owner is the control
+// host to which the entry host last sent a sync request as its primary, until HostLease after
+// that request.
 type Host struct {
 	ID, Peer, Caller, Region, FailureDomain string
 	Ready                                   bool
-	HeardAt                                 time.Time // here or at another control host
-	// Direct is set by the caller of HearHost when the host presents itself to this control
-	// host, and Primary when it goes by the control host that hears it.
+	HeardAt                                 time.Time // last sync request to any control host
+	// Direct is set by the caller of HearHost when the host sent the sync request to this
+	// control host, and Primary when the receiving control host is the entry host's primary.
 	Direct, Primary bool
-	// Via is the failure domain of the control host that heard it last; "" for this one.
+	// Via is the failure domain of the control host that received its last sync request; "" for
+	// this control host.
 	Via string
-	// PresentedAt is when it last presented itself here; zero for never.
-	PresentedAt time.Time
-	Loads       serverload.Loads // while they are owned here
-	changed     uint64           // version of its last change
-	owned       bool             // here
+	// PresentedAt is when it last sent a sync request to this control host; zero for never.
+	PresentedAt    time.Time
+	Loads          serverload.Loads // nil unless owned by this control host
+	changedVersion uint64           // registry version of the last change
+	owned          bool             // by this control host
 }
 
 // Key returns the host's key in messages between hosts.
@@ -37,16 +39,16 @@
 type Control struct {
 	Store, Peer, Operator, Region, FailureDomain string
 	HeardAt                                      time.Time
-	// Loads are those of its region, as told at LoadsAt.
+	// Loads are the loads of its region, as received at LoadsAt.
 	Loads       []*pb.RegionLoad
 	LoadsAt     time.Time
 	ServerLoads serverload.Loads
 
-	counted serverload.Loads // its part of Registry.region
+	countedLoads serverload.Loads // the part of Registry.regionSum that it sent
 }
 
-// HearHost takes an entry host's presentation, to this control host or to another one. It
-// reports whether it was news.
+// HearHost records an entry host's sync request, received here or by another control host. It
+// reports whether the request changed anything that is sent to other hosts.
 func (r *Registry) HearHost(h Host, now time.Time) bool {
 	old := r.hosts[h.ID]
 	if old == nil {
@@ -61,11 +63,11 @@
 	if !h.HeardAt.After(old.HeardAt) {
 		return false
 	}
-	news := old.ID == "" || old.Ready != h.Ready || old.Peer != h.Peer || old.Caller != h.Caller || now.Sub(old.HeardAt) > r.o.HostLease
-	if news {
-		r.noteHost(&h)
+	changed := old.ID == "" || old.Ready != h.Ready || old.Peer != h.Peer || old.Caller != h.Caller || now.Sub(old.HeardAt) > r.o.HostLease
+	if changed {
+		r.recordHostChange(&h)
 	} else {
-		h.changed = old.changed
+		h.changedVersion = old.changedVersion
 	}
 	before := old.Loads
 	if h.Direct {
@@ -76,39 +78,39 @@
 	if !h.owned {
 		h.Loads = nil
 	}
-	r.count(before, h.Loads)
-	r.hostsDue = earlier(r.hostsDue, h.HeardAt.Add(r.o.HostLease))
+	r.replaceOwnedLoads(before, h.Loads)
+	r.nextHostExpiry = earlier(r.nextHostExpiry, h.HeardAt.Add(r.o.HostLease))
 	*old = h
 	r.hostByKey[h.Key()] = old
-	return news
+	return changed
 }
 
-// count puts the figures of an owned host in the place of what it told before.
-func (r *Registry) count(before, after serverload.Loads) {
-	r.direct.Sub(before)
-	r.direct.Add(after)
-	r.region.replace(before, after)
+// replaceOwnedLoads replaces the loads that an owned host sent before, in both sums.
+func (r *Registry) replaceOwnedLoads(before, after serverload.Loads) {
+	r.ownedSum.Sub(before)
+	r.ownedSum.Add(after)
+	r.regionSum.replace(before, after)
 }
 
-// disown ends the count of a host's figures.
+// disown removes a host's loads from the sums and gives up their ownership.
 func (r *Registry) disown(h *Host) {
 	if h.owned {
-		r.count(h.Loads, nil)
+		r.replaceOwnedLoads(h.Loads, nil)
 		h.owned, h.Loads = false, nil
 	}
 }
 
-// Owned reports whether this control host owns the host's figures.
+// Owned reports whether this control host owns the host's loads.
 func (h *Host) Owned() bool { return h.owned }
 
-// PresentsItself reports whether the host has presented itself here within its lease.
+// PresentsItself reports whether the host sent a sync request to this control host within its lease.
 func (r *Registry) PresentsItself(h *Host, now time.Time) bool {
 	return !h.PresentedAt.IsZero() && now.Sub(h.PresentedAt) <= r.o.HostLease
 }
 
-// HearHostAgain takes the news of another control host that an entry host which it told of
-// before is still there; owned says that the host's figures are its own. It reports whether
-// the host is known here.
+// HearHostAgain records that another control host, which sent the full entry of an entry host
+// before, still receives its sync requests; owned tells whether that control host owns the host's
+// loads. It reports whether the host is known here.
 func (r *Registry) HearHostAgain(key uint32, owned, ready bool, via string, heardAt, now time.Time) bool {
 	known := r.hostByKey[key]
 	if known == nil {
@@ -120,9 +122,9 @@
 	return true
 }
 
-// ChangedSince reports whether other control hosts must be told the host again that were
-// told it at a version.
-func (h *Host) ChangedSince(version uint64) bool { return h.changed > version }
+// ChangedSince reports whether the host changed after a version, so that control hosts that got
+// its full entry at that version must get it again.
+func (h *Host) ChangedSince(version uint64) bool { return h.changedVersion > version }
 
 func (r *Registry) live(h *Host, now time.Time) bool { return now.Sub(h.HeardAt) <= r.o.HostLease }
 
@@ -161,55 +163,57 @@
 	return nil
 }
 
-// HearControl takes what another control host tells of itself.
+// HearControl records the state that another control host sent of itself.
 func (r *Registry) HearControl(c Control) {
 	var before serverload.Loads
 	if old := r.controls[c.Peer]; old != nil {
-		before = old.counted
+		before = old.countedLoads
 	}
 	if c.Region == r.o.Region {
-		c.counted = c.ServerLoads
+		c.countedLoads = c.ServerLoads
 	}
-	r.region.replace(before, c.counted)
+	r.regionSum.replace(before, c.countedLoads)
 	r.controls[c.Peer] = &c
 }
 
-// HearOfControl takes what another control host of its failure domain tells of a control host
-// of another region.
+// HearOfControl records a control host of another region as reported by another control host of
+// the same failure domain. It keeps the loads that the control host itself sent.
 func (r *Registry) HearOfControl(c Control) {
 	old := r.controls[c.Peer]
 	if old == nil {
 		r.controls[c.Peer] = &c
 	} else if c.HeardAt.After(old.HeardAt) {
-		c.Loads, c.LoadsAt, c.ServerLoads, c.counted = old.Loads, old.LoadsAt, old.ServerLoads, old.counted
+		c.Loads, c.LoadsAt, c.ServerLoads, c.countedLoads = old.Loads, old.LoadsAt, old.ServerLoads, old.countedLoads
 		r.controls[c.Peer] = &c
 	}
 }
 
-// speakerSilence is after how long without news of a speaker the next control host of the
-// failure domain speaks as well: three exchanges. Two speakers for a while do no harm.
-const speakerSilence = time.Second
+// speakerTimeout is how long after the last message of a failure domain's representative the next
+// control host of that failure domain takes over: three exchanges. Two representatives at a time
+// do no harm.
+const speakerTimeout = time.Second
 
-// Speaks reports whether this control host, at its own address, speaks for its failure domain
-// to other regions: it is the first of those that are heard, by address. What crosses regions
-// then grows with the failure domains and not with the control hosts.
-func (r *Registry) Speaks(own string, now time.Time) bool {
+// Speaks reports whether this control host, at ownAddress, represents its failure domain to other
+// regions: no control host of the failure domain with a lower address has sent a message within
+// speakerTimeout. Traffic between regions thus grows with the number of failure domains and not
+// with the number of control hosts.
+func (r *Registry) Speaks(ownAddress string, now time.Time) bool {
 	for _, c := range r.controls {
-		if c.FailureDomain == r.o.FailureDomain && c.Peer < own && now.Sub(c.HeardAt) <= speakerSilence {
+		if c.FailureDomain == r.o.FailureDomain && c.Peer < ownAddress && now.Sub(c.HeardAt) <= speakerTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// HeardInDomain reports whether the control host that heard the host last is of the own
-// failure domain: this one or one that tells this one.
+// HeardInDomain reports whether the host's last sync request was received in this failure domain,
+// by this control host or by another one.
 func (r *Registry) HeardInDomain(h *Host) bool { return h.Via == "" || h.Via == r.o.FailureDomain }
 
-// ControlLease is how long another control host counts as live.
+// ControlLease is how long another control host counts as live after its last message.
 const ControlLease = 3 * time.Second
 
-// Controls returns the other control hosts heard lately, sorted by peer address.
+// Controls returns the other control hosts that are live, sorted by peer address.
 func (r *Registry) Controls(now time.Time) []*Control {
 	var out []*Control
 	for _, c := range r.controls {
@@ -221,15 +225,15 @@
 	return out
 }
 
-// Control returns what is known of the control host at an address, or nil.
+// Control returns the control host at an address, or nil if it is unknown.
 func (r *Registry) Control(peer string) *Control { return r.controls[peer] }
 
-// KnownControls returns all other control hosts ever heard, sorted by peer address.
+// KnownControls returns all other control hosts, live or not, sorted by peer address.
 func (r *Registry) KnownControls() []*Control {
 	out := slices.Collect(maps.Values(r.controls))
 	sort.Slice(out, func(i, j int) bool { return out[i].Peer < out[j].Peer })
 	return out
 }
 
-// Heard reports whether a control host was heard lately.
+// Heard reports whether a message of or about the control host was recorded within ControlLease.
 func (c *Control) Heard(now time.Time) bool { return now.Sub(c.HeardAt) <= ControlLease }
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -21,21 +21,21 @@
 	})
 }
 
-// beat is an announcement of a server of failure domain w1.
-func beat(id, addr string, seq uint64, ms int) Server {
+// announcement returns an announcement of a server of failure domain w1.
+func announcement(id, addr string, seq uint64, ms int) Server {
 	return Server{ID: id, Service: "llm", Address: addr, FailureDomain: "w1", Sequence: seq, Slots: 8, HeardAt: at(ms), Direct: at(ms)}
 }
 
-// step is one message at a control host.
+// step is one message to a control host.
 type step struct {
-	server Server
-	leave  string
-	ms     int
-	news   bool
+	server      Server
+	leave       string
+	ms          int
+	wantChanged bool
 }
 
-// TestAnnouncements plays announcements that are late, repeated, of reborn
-// servers and of addresses used again, and checks which servers remain in use.
+// TestAnnouncements applies announcements that are late, repeated, from restarted servers, or for
+// addresses in use before, and checks which servers remain in use.
 func TestAnnouncements(t *testing.T) {
 	leaving := func(s Server) Server { s.Leaving = true; return s }
 	cases := []struct {
@@ -43,16 +43,16 @@
 		steps []step
 		want  string // servers in use at the end: ID, and ! for leaving
 	}{
-		{"first and repeated", []step{{server: beat("a", "x", 1, 0), news: true}, {server: beat("a", "x", 2, 1200), ms: 1200}}, "a"},
-		{"leaving is news", []step{{server: beat("a", "x", 1, 0), news: true}, {server: leaving(beat("a", "x", 2, 100)), ms: 100, news: true}}, "a!"},
-		{"a late one does not undo leaving", []step{{server: beat("a", "x", 1, 0), news: true}, {server: leaving(beat("a", "x", 3, 100)), ms: 100, news: true}, {server: beat("a", "x", 2, 200), ms: 200}}, "a!"},
-		{"gone for good", []step{{server: beat("a", "x", 1, 0), news: true}, {leave: "a", ms: 100, news: true}, {server: beat("a", "x", 9, 200), ms: 200}}, ""},
-		{"leaves before it was heard", []step{{leave: "a", news: true}, {server: beat("a", "x", 1, 100), ms: 100}}, ""},
-		{"silent beyond its lease", []step{{server: beat("a", "x", 1, 0), news: true}, {server: beat("b", "y", 1, 3700), ms: 3700, news: true}}, "b"},
-		{"back after a lapse", []step{{server: beat("a", "x", 1, 0), news: true}, {server: beat("a", "x", 2, 4000), ms: 4000, news: true}}, "a"},
-		{"address taken over", []step{{server: beat("a", "x", 5, 0), news: true}, {server: beat("b", "x", 1, 1000), ms: 1000, news: true}}, "b"},
-		{"late announcement of the one before", []step{{server: beat("a", "x", 5, 0), news: true}, {server: beat("b", "x", 1, 1000), ms: 1000, news: true}, {server: beat("a", "x", 6, 2000), ms: 2000}}, "b"},
-		{"two addresses", []step{{server: beat("a", "x", 1, 0), news: true}, {server: beat("b", "y", 1, 10), ms: 10, news: true}}, "a b"},
+		{"first and repeated", []step{{server: announcement("a", "x", 1, 0), wantChanged: true}, {server: announcement("a", "x", 2, 1200), ms: 1200}}, "a"},
+		{"leaving is a change", []step{{server: announcement("a", "x", 1, 0), wantChanged: true}, {server: leaving(announcement("a", "x", 2, 100)), ms: 100, wantChanged: true}}, "a!"},
+		{"a late one does not undo leaving", []step{{server: announcement("a", "x", 1, 0), wantChanged: true}, {server: leaving(announcement("a", "x", 3, 100)), ms: 100, wantChanged: true}, {server: announcement("a", "x", 2, 200), ms: 200}}, "a!"},
+		{"gone for good", []step{{server: announcement("a", "x", 1, 0), wantChanged: true}, {leave: "a", ms: 100, wantChanged: true}, {server: announcement("a", "x", 9, 200), ms: 200}}, ""},
+		{"leaves before its first announcement", []step{{leave: "a", wantChanged: true}, {server: announcement("a", "x", 1, 100), ms: 100}}, ""},
+		{"lease expired", []step{{server: announcement("a", "x", 1, 0), wantChanged: true}, {server: announcement("b", "y", 1, 3700), ms: 3700, wantChanged: true}}, "b"},
+		{"announced again after the lease", []step{{server: announcement("a", "x", 1, 0), wantChanged: true}, {server: announcement("a", "x", 2, 4000), ms: 4000, wantChanged: true}}, "a"},
+		{"address taken over", []step{{server: announcement("a", "x", 5, 0), wantChanged: true}, {server: announcement("b", "x", 1, 1000), ms: 1000, wantChanged: true}}, "b"},
+		{"late announcement of the one before", []step{{server: announcement("a", "x", 5, 0), wantChanged: true}, {server: announcement("b", "x", 1, 1000), ms: 1000, wantChanged: true}, {server: announcement("a", "x", 6, 2000), ms: 2000}}, "b"},
+		{"two addresses", []step{{server: announcement("a", "x", 1, 0), wantChanged: true}, {server: announcement("b", "y", 1, 10), ms: 10, wantChanged: true}}, "a b"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,17 +60,17 @@
 			last := 0
 			for i, s := range c.steps {
 				before := r.Version()
-				news := false
+				changed := false
 				if s.leave != "" {
-					news = r.Leave(s.leave, 0, at(s.ms))
+					changed = r.Leave(s.leave, 0, at(s.ms))
 				} else {
-					news = r.Announce(s.server, at(s.ms))
+					changed = r.Announce(s.server, at(s.ms))
 				}
-				if news != s.news {
-					t.Errorf("step %d: news %v", i, news)
+				if changed != s.wantChanged {
+					t.Errorf("step %d: changed %v", i, changed)
 				}
-				if news != (r.Version() != before) {
-					t.Errorf("step %d: news %v, but the version went from %d to %d", i, news, before, r.Version())
+				if changed != (r.Version() != before) {
+					t.Errorf("step %d: changed %v, but the version went from %d to %d", i, changed, before, r.Version())
 				}
 				last = s.ms
 			}
@@ -88,23 +88,23 @@
 	}
 }
 
-// TestLapseIsTold raises the version once when a lease runs out.
-func TestLapseIsTold(t *testing.T) {
+// TestLeaseExpiryRaisesVersionOnce checks that the expiry of a lease raises the version once.
+func TestLeaseExpiryRaisesVersionOnce(t *testing.T) {
 	r := newRegistry()
-	r.Announce(beat("a", "x", 1, 0), at(0))
+	r.Announce(announcement("a", "x", 1, 0), at(0))
 	v := r.Version()
 	r.Expire(at(3500), at(3600))
 	if r.Version() != v {
-		t.Error("told within the lease")
+		t.Error("version raised within the lease")
 	}
 	r.Expire(at(3600), at(3700))
 	if r.Version() == v {
-		t.Error("a lapse was not told")
+		t.Error("version not raised after the lease")
 	}
 	v = r.Version()
 	r.Expire(at(3700), at(3800))
 	if r.Version() != v {
-		t.Error("told twice")
+		t.Error("version raised twice")
 	}
 }
 
@@ -112,7 +112,7 @@
 	return Host{ID: id, Caller: id + ":1", Region: region, FailureDomain: domain, Ready: ready, HeardAt: at(ms), Direct: true, Primary: true}
 }
 
-// TestLookup checks which entry hosts a caller is told.
+// TestLookup checks which entry hosts a caller gets.
 func TestLookup(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -127,7 +127,7 @@
 		{"none that the homes allow", []Host{host("c", "east", "e1", true, 0)}, []string{"south"}, ""},
 		{"own region, whatever the homes", []Host{host("a", "west", "w1", true, 0)}, []string{"east"}, "a"},
 		{"not one that was killed", []Host{host("a", "west", "w1", true, -2000), host("b", "west", "w2", true, 0)}, nil, "b"},
-		{"nobody", nil, nil, ""},
+		{"no host", nil, nil, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -144,14 +144,14 @@
 				got += h.ID
 			}
 			if got != c.want {
-				t.Errorf("told %q, want %q", got, c.want)
+				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// othersOf returns what an entry host makes of the loads that it is told.
-func othersOf(r *Registry, host string) serverload.Loads {
+// loadsOfOtherHosts returns what an entry host computes as the work of the others from LoadsSince.
+func loadsOfOtherHosts(r *Registry, host string) serverload.Loads {
 	told, _, _ := r.LoadsSince(0)
 	all := serverload.Loads{}
 	all.Take(told)
@@ -161,12 +161,12 @@
 	return all
 }
 
-// TestLoads checks that a host is told the others' work, not its own, and that a
-// region's figures count the servers that take work.
+// TestLoads checks that a host gets the work of other hosts without its own, and that a region's
+// sums count the servers that accept work.
 func TestLoads(t *testing.T) {
 	r := newRegistry()
 	for i := range 3 {
-		s := beat(fmt.Sprint("s", i), fmt.Sprint("x", i), 1, 0)
+		s := announcement(fmt.Sprint("s", i), fmt.Sprint("x", i), 1, 0)
 		s.Leaving = i == 2
 		r.Announce(s, at(0))
 	}
@@ -180,12 +180,12 @@
 	r.HearHost(b, at(0))
 	r.HearControl(Control{Peer: "c2", Region: "west", HeardAt: at(0), ServerLoads: load("s1", 3)})
 	r.HearControl(Control{Peer: "c3", Region: "east", HeardAt: at(0), ServerLoads: load("s1", 9)})
-	others := othersOf(r, "a")
+	others := loadsOfOtherHosts(r, "a")
 	if len(others) != 2 || others[s0].Requests != 5 || others[s1].Requests != 3 {
 		t.Errorf("others' work: %v", others)
 	}
 	if direct := r.DirectLoads(); len(direct) != 1 || direct[s0].Requests != 7 {
-		t.Errorf("work of the hosts that present themselves here: %v", direct)
+		t.Errorf("work of the owned hosts: %v", direct)
 	}
 	sum := r.RegionLoads(func(string) bool { return false }, at(0))
 	if len(sum) != 1 || sum[0].Servers != 2 || sum[0].Requests != 10 {
@@ -196,11 +196,11 @@
 	}
 }
 
-// TestArrivals checks that a host is told what callers send to the region's others, and that
-// a region tells what its own callers send.
+// TestArrivals checks that a host gets the arrivals at the region's other hosts, and that a region's
+// sums contain the arrivals at its own hosts.
 func TestArrivals(t *testing.T) {
 	r := newRegistry()
-	s := beat("s0", "x0", 1, 0)
+	s := announcement("s0", "x0", 1, 0)
 	r.Announce(s, at(0))
 	key := serverload.ServiceKey(s.Service)
 	arrivals := func(n uint32) serverload.Loads { return serverload.Loads{key: {Requests: n}} }
@@ -210,8 +210,8 @@
 	r.HearHost(b, at(0))
 	r.HearControl(Control{Peer: "c2", Region: "west", HeardAt: at(0), ServerLoads: arrivals(7)})
 	r.HearControl(Control{Peer: "c3", Region: "east", HeardAt: at(0), ServerLoads: arrivals(900)})
-	if got := othersOf(r, "a")[key].Requests; got != 27 {
-		t.Errorf("host a is told %d, want 27", got)
+	if got := loadsOfOtherHosts(r, "a")[key].Requests; got != 27 {
+		t.Errorf("host a gets %d, want 27", got)
 	}
 	sum := r.RegionLoads(func(string) bool { return false }, at(0))
 	if len(sum) != 1 || sum[0].Arrivals != 157 || sum[0].Requests != 0 {
@@ -219,7 +219,7 @@
 	}
 }
 
-// TestHostsAreSorted checks the list of entry hosts while they come, go and come back.
+// TestHostsAreSorted checks the list of entry hosts while hosts are added, deleted and added again.
 func TestHostsAreSorted(t *testing.T) {
 	r := newRegistry()
 	ids := func(now time.Time) string {
@@ -235,14 +235,14 @@
 	if got := ids(at(0)); got != "a b c" {
 		t.Errorf("hosts: %s", got)
 	}
-	later := at(0).Add(goneFor + time.Minute)
+	later := at(0).Add(goneRetention + time.Minute)
 	r.HearHost(Host{ID: "b", Region: "west", FailureDomain: "w1", HeardAt: later}, later)
 	r.Expire(at(0), later)
 	if got := ids(later); got != "b" {
-		t.Errorf("hosts that are left: %s", got)
+		t.Errorf("hosts after expiry: %s", got)
 	}
 	r.HearHost(Host{ID: "a", Region: "west", FailureDomain: "w1", HeardAt: later}, later)
 	if got := ids(later); got != "a b" {
-		t.Errorf("hosts with one that came back: %s", got)
+		t.Errorf("hosts after one was added again: %s", got)
 	}
 }
--- a/internal/core/registry/starts_test.go
+++ b/internal/core/registry/starts_test.go
@@ -6,15 +6,15 @@
 	"pgregory.net/rapid"
 )
 
-// started is an announcement of one start of a server.
+// started returns an announcement of one start of server a.
 func started(start int64, addr string, seq uint64, ms int) Server {
-	s := beat("a", addr, seq, ms)
+	s := announcement("a", addr, seq, ms)
 	s.Start = start
 	return s
 }
 
-// TestRestartUnderOneID plays announcements of two starts that share an ID: which start is
-// in use at the end, at which address, and with which sequence number.
+// TestRestartUnderOneID applies announcements of two starts that share an ID, and checks which start
+// is in use at the end, at which address, and with which sequence number.
 func TestRestartUnderOneID(t *testing.T) {
 	type message struct {
 		s     Server
@@ -36,11 +36,11 @@
 		{"late leave of the older start", []message{take(started(20, "x", 1, 100), 100), leave(10, 200)}, 20, "x", 1},
 		{"the older one left first", []message{take(started(10, "x", 9, 0), 0), leave(10, 50), take(started(20, "x", 1, 100), 100)}, 20, "x", 1},
 		{"left without its start, back as another", []message{take(started(10, "x", 9, 0), 0), leave(0, 50), take(started(20, "x", 1, 100), 100)}, 20, "x", 1},
-		{"left before it was heard, back after the lease", []message{leave(0, 0), take(started(20, "x", 1, 3700), 3700)}, 20, "x", 1},
-		{"left before it was heard, late announcement", []message{leave(0, 0), take(started(20, "x", 1, 100), 100)}, 0, "", 0},
-		{"clock set back, the first still heard", []message{take(started(20, "x", 9, 0), 0), take(started(10, "x", 1, 100), 100)}, 20, "x", 9},
-		{"clock set back, the first silent", []message{take(started(20, "x", 9, 0), 0), take(started(10, "x", 1, 3700), 3700)}, 10, "x", 1},
-		{"clock set back, then late news of the first", []message{take(started(20, "x", 9, 0), 0), take(started(10, "x", 1, 3700), 3700), take(started(20, "x", 10, 3800), 3800)}, 10, "x", 1},
+		{"left before its first announcement, back after the lease", []message{leave(0, 0), take(started(20, "x", 1, 3700), 3700)}, 20, "x", 1},
+		{"left before its first announcement, late announcement", []message{leave(0, 0), take(started(20, "x", 1, 100), 100)}, 0, "", 0},
+		{"clock set back, first start within its lease", []message{take(started(20, "x", 9, 0), 0), take(started(10, "x", 1, 100), 100)}, 20, "x", 9},
+		{"clock set back, first start expired", []message{take(started(20, "x", 9, 0), 0), take(started(10, "x", 1, 3700), 3700)}, 10, "x", 1},
+		{"clock set back, then late announcement of the first", []message{take(started(20, "x", 9, 0), 0), take(started(10, "x", 1, 3700), 3700), take(started(20, "x", 10, 3800), 3800)}, 10, "x", 1},
 		{"older writer after the restart", []message{take(started(20, "x", 5, 0), 0), take(started(0, "x", 6, 100), 100)}, 20, "x", 6},
 		{"older writer first", []message{take(started(0, "x", 5, 0), 0), take(started(20, "x", 6, 100), 100)}, 20, "x", 6},
 		{"another address", []message{take(started(10, "x", 5, 0), 0), take(started(20, "y", 1, 100), 100)}, 20, "y", 1},
@@ -75,15 +75,15 @@
 	r := newRegistry()
 	r.Announce(started(10, "x", 5, 0), at(0))
 	r.Announce(started(20, "y", 1, 100), at(100))
-	r.Announce(beat("b", "x", 1, 200), at(200))
+	r.Announce(announcement("b", "x", 1, 200), at(200))
 	if a, b := r.Server("a"), r.Server("b"); a.Gone || b.Gone {
 		t.Errorf("gone: a %v, b %v", a.Gone, b.Gone)
 	}
 }
 
-// TestRestartsInterleaved lets announcements and leaves of several starts arrive in any
-// order at two control hosts that pass on to each other what they hold. Whatever arrives,
-// the known start never goes back, and at the end both know the newest one.
+// TestRestartsInterleaved delivers announcements and leaves of several starts in random order to two
+// control hosts that exchange their states. The known start never decreases, and at the end both
+// control hosts have the newest one.
 func TestRestartsInterleaved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := []*Registry{newRegistry(), newRegistry()}
@@ -105,18 +105,18 @@
 				r.Leave("a", start, at(ms))
 				newest = max(newest, start)
 			case 3:
-				passOn(hosts[0], hosts[1], ms)
-				passOn(hosts[1], hosts[0], ms)
+				replicate(hosts[0], hosts[1], ms)
+				replicate(hosts[1], hosts[0], ms)
 			}
 			if s := r.Server("a"); s != nil && s.Start < before {
 				t.Fatalf("start %d after %d", s.Start, before)
 			}
 		}
-		passOn(hosts[0], hosts[1], ms)
-		passOn(hosts[1], hosts[0], ms)
+		replicate(hosts[0], hosts[1], ms)
+		replicate(hosts[1], hosts[0], ms)
 		for i, r := range hosts {
 			if s := r.Server("a"); newest > 0 && s.Start != newest {
-				t.Errorf("host %d knows start %d, the newest is %d", i, s.Start, newest)
+				t.Errorf("host %d has start %d, the newest is %d", i, s.Start, newest)
 			}
 		}
 		if a, b := hosts[0].Server("a"), hosts[1].Server("a"); a != nil && a.Gone != b.Gone {
@@ -125,15 +125,15 @@
 	})
 }
 
-// passOn tells one control host what another holds, as an exchange does.
-func passOn(from, to *Registry, ms int) {
+// replicate sends the state of one control host to another one, as an exchange does.
+func replicate(from, to *Registry, ms int) {
 	for _, s := range from.DirectServers("west", at(ms)) {
 		if s.Gone {
 			to.Leave(s.ID, s.Start, at(ms))
 			continue
 		}
 		c := *s
-		c.Direct = at(-1) // heard by the other host; zero would keep what this one heard
+		c.Direct = at(-1) // received by the other control host; zero would keep this one's own value
 		to.Announce(c, at(ms))
 	}
 }
--- a/internal/core/registry/sums_test.go
+++ b/internal/core/registry/versionedloads_test.go
@@ -10,11 +10,11 @@
 	"github.com/sesamefork/sesamefork/internal/core/serverload"
 )
 
-// TestReadersOfSums lets parts of a sum change and readers learn of it at different times. A
-// reader that takes the changes in the place of what it had has the sum.
+// TestReadersOfSums changes parts of a sum and reads the changes at different times. A reader that
+// applies the changes to its copy has the sum.
 func TestReadersOfSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sum := newSums()
+		sum := newVersionedLoads()
 		parts := make([]serverload.Loads, 3)
 		type reader struct {
 			have    serverload.Loads
@@ -33,8 +33,8 @@
 				sum.replace(parts[i], next)
 				parts[i] = next
 			}
-			if n := rapid.IntRange(0, 5).Draw(t, "forgotten"); n > 0 && n <= len(sum.log) {
-				sum.forget(n)
+			if n := rapid.IntRange(0, 5).Draw(t, "dropped"); n > 0 && n <= len(sum.log) {
+				sum.trim(n)
 			}
 			want := serverload.Loads{}
 			for _, p := range parts {
@@ -57,18 +57,18 @@
 	})
 }
 
-// TestSumsAreBounded: changes beyond the bound are forgotten, with the keys that have no
-// work any more.
-func TestSumsAreBounded(t *testing.T) {
-	sum := newSums()
-	for key := range uint32(sumChangesKept) {
+// TestChangeLogOfLoadsIsBounded checks that changes beyond the bound are dropped, together with the
+// keys whose load is zero.
+func TestChangeLogOfLoadsIsBounded(t *testing.T) {
+	sum := newVersionedLoads()
+	for key := range uint32(maxLoadChanges) {
 		sum.replace(nil, serverload.Loads{key: {Requests: 1}})
 		sum.replace(serverload.Loads{key: {Requests: 1}}, nil)
 	}
-	if len(sum.log) > sumChangesKept || len(sum.cells) > sumChangesKept/2+1 {
-		t.Errorf("%d changes and %d keys are kept", len(sum.log), len(sum.cells))
+	if len(sum.log) > maxLoadChanges || len(sum.cells) > maxLoadChanges/2+1 {
+		t.Errorf("%d changes and %d keys are held", len(sum.log), len(sum.cells))
 	}
 	if _, complete := sum.since(1); complete {
-		t.Error("complete, though the second change is forgotten")
+		t.Error("complete, though the second change was dropped")
 	}
 }
