--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend holds what a host knows of the backend servers of its failure
-// domain: their announcements as leases, the host's own dispatches since, a
-// breaker for each, and a slow start for those that return cold.
+// Package backend holds an entry host's view of the backend servers of its failure
+// domain: their announcements as leases, the host's own attempts since then, a
+// circuit breaker for each server, and a slow start for servers that return cold.
 package backend
 
 import (
@@ -17,39 +17,39 @@
 	KindService = "service"
 )
 
-// Limits holds the table's times.
+// Limits holds the durations that configure a Table.
 type Limits struct {
 	Lease     time.Duration // validity of an announcement
-	SlowStart time.Duration // time until a new server takes its full share
+	SlowStart time.Duration // time until a new server gets its full share
 	Lag       time.Duration // assumed age of a load figure when it is announced
 }
 
-// Breaker times: after a connection failure a server is left alone, longer
-// after each further one; then one attempt probes it.
+// Circuit breaker pauses: after a connection failure no attempt is made at a server for a
+// pause that doubles with each further failure; then a single attempt probes it.
 const (
-	breakerFirst = 500 * time.Millisecond
-	breakerMax   = 10 * time.Second
+	initialBreakerPause = 500 * time.Millisecond
+	maxBreakerPause     = 10 * time.Second
 )
 
 // Server is one backend server.
 type Server struct {
-	State      *pb.BackendState
-	HeardAt    time.Time // when the sponsor heard it, on this host's clock
-	FirstSeen  time.Time // start of this incarnation's slow start
-	Inflight   int       // own attempts under way
-	failures   int
-	closedAt   time.Time // breaker: next attempt allowed from here on
-	probing    bool
-	history    history
-	cache      *cache
-	serviceSum float64 // moving mean of the time an attempt holds a slot, in ms
+	State         *pb.BackendState
+	HeardAt       time.Time // when an entry host received the announcement, on this host's clock
+	FirstSeen     time.Time // start of this incarnation's slow start
+	Inflight      int       // this host's attempts in flight
+	failures      int
+	retryAt       time.Time // circuit breaker: no attempt before this time
+	probing       bool
+	history       history
+	cache         *cache
+	meanServiceMS float64 // moving mean of the time an attempt holds a slot, in ms; 0 before the first
 }
 
 // Table holds the servers of one failure domain. It is not safe for concurrent use.
 type Table struct {
 	limits  Limits
 	servers map[string]*Server
-	sharers float64 // hosts that send to these servers, this one included
+	senders float64 // entry hosts that send to these servers, this one included
 	lag     lagEstimate
 	own     map[string]*meanLoad            // by kind of server
 	others  map[string]map[string]otherLoad // by kind, by host
@@ -58,18 +58,19 @@
 // NewTable returns an empty table.
 func NewTable(l Limits) *Table {
 	return &Table{
-		limits: l, servers: map[string]*Server{}, sharers: 1, lag: newLagEstimate(l.Lag),
+		limits: l, servers: map[string]*Server{}, senders: 1, lag: newLagEstimate(l.Lag),
 		own:    map[string]*meanLoad{KindEngine: {}, KindService: {}},
 		others: map[string]map[string]otherLoad{KindEngine: {}, KindService: {}},
 	}
 }
 
-// SetSharers fixes how many hosts send to these servers, this one included.
-func (t *Table) SetSharers(n int) { t.sharers = float64(max(n, 1)) }
+// SetSharers sets how many entry hosts send to these servers, this one included.
+func (t *Table) SetSharers(n int) { t.senders = float64(max(n, 1)) }
 
-// Merge takes an announcement, received directly or from its sponsor. The same
-// server heard through two hosts is one server: only a higher incarnation, or a
-// later announcement of the same, replaces what is held.
+// Merge records an announcement, received from the server or forwarded by another entry host. It
+// reports whether the announcement replaced the held state: only a higher incarnation, or a
+// higher sequence number of the same incarnation, does. A server announced through two entry
+// hosts is thus one server.
 func (t *Table) Merge(st *pb.BackendState, now time.Time) bool {
 	if t.own[st.Kind] == nil {
 		return false
@@ -78,19 +79,19 @@
 	if s != nil && !supersedes(st, s.State) {
 		return false
 	}
-	heard := now.Add(-time.Duration(st.AgeMs) * time.Millisecond)
+	receivedAt := now.Add(-time.Duration(st.AgeMs) * time.Millisecond)
 	switch {
 	case s == nil:
 		s = &Server{FirstSeen: now, cache: newCache()}
 		t.servers[st.Id] = s
 	case st.Incarnation > s.State.Incarnation:
-		*s = Server{FirstSeen: now, Inflight: s.Inflight, cache: newCache(), serviceSum: s.serviceSum}
+		*s = Server{FirstSeen: now, Inflight: s.Inflight, cache: newCache(), meanServiceMS: s.meanServiceMS}
 	case now.Sub(s.HeardAt) > t.limits.Lease:
-		s.FirstSeen = now // returns after a lapse: its cache may be cold
+		s.FirstSeen = now // the lease had lapsed: its cache may be cold
 	}
-	s.State, s.HeardAt = st, heard
-	t.lag.observe(s, t.sharers)
-	s.cache.advertise(st.Prefixes)
+	s.State, s.HeardAt = st, receivedAt
+	t.lag.observe(s, t.senders)
+	s.cache.addAll(st.Prefixes)
 	return true
 }
 
@@ -101,14 +102,14 @@
 	return a.Sequence > b.Sequence
 }
 
-// expiredFactor times the lease is how long a lapsed server is remembered, so
-// that a late copy of an old announcement does not look new.
-const expiredFactor = 20
+// retentionLeases is how long a lapsed server is kept, in leases, so that a delayed copy of an old
+// announcement is not taken for a new server.
+const retentionLeases = 20
 
-// Expire forgets servers that lapsed long ago.
+// Expire deletes servers without attempts in flight whose lease lapsed long ago.
 func (t *Table) Expire(now time.Time) {
 	for id, s := range t.servers {
-		if s.Inflight == 0 && now.Sub(s.HeardAt) > expiredFactor*t.limits.Lease {
+		if s.Inflight == 0 && now.Sub(s.HeardAt) > retentionLeases*t.limits.Lease {
 			delete(t.servers, id)
 		}
 	}
@@ -132,10 +133,10 @@
 	return s.State.Kind == kind && slices.Contains(s.State.Models, name)
 }
 
-// Skip says why a server is passed over.
+// Skip is the reason why a server gets no new work.
 type Skip string
 
-// Reasons to pass a server over.
+// Reasons to skip a server.
 const (
 	SkipNone    Skip = ""
 	SkipLeaving Skip = "leaving"
@@ -144,21 +145,21 @@
 	SkipFull    Skip = "queue full"
 )
 
-// Usable returns why the server may not be given new work, or SkipNone.
+// Usable returns why the server must not be given new work, or SkipNone.
 func (t *Table) Usable(s *Server, now time.Time) Skip {
 	switch {
 	case s.State.Leaving:
 		return SkipLeaving
 	case now.Sub(s.HeardAt) > t.limits.Lease:
 		return SkipLapsed
-	case now.Before(s.closedAt) || (s.failures > 0 && s.probing):
+	case now.Before(s.retryAt) || (s.failures > 0 && s.probing):
 		return SkipBreaker
 	}
 	return SkipNone
 }
 
-// Ramp returns the share of its capacity that a server may take (0 to 1): new
-// and returning servers start small.
+// Ramp returns the share of its capacity that a server may use (0 to 1). It rises linearly from 0.2
+// over the slow start of a new or returning server.
 func (t *Table) Ramp(s *Server, now time.Time) float64 {
 	const floor = 0.2
 	age := now.Sub(s.FirstSeen)
@@ -168,13 +169,13 @@
 	return floor + (1-floor)*float64(age)/float64(t.limits.SlowStart)
 }
 
-// Started records an own attempt.
+// Started records the start of an attempt of this host.
 func (t *Table) Started(s *Server, prefixes []uint64, now time.Time) {
 	if s.failures > 0 {
 		s.probing = true
 	}
 	s.Inflight++
-	s.cache.sent(prefixes)
+	s.cache.recordSent(prefixes)
 	s.history.record(now, s.Inflight)
 	t.own[s.State.Kind].change(1, now)
 }
@@ -182,45 +183,45 @@
 // serviceWeight is the weight of the newest sample in the mean service time.
 const serviceWeight = 0.1
 
-// Finished records the end of an own attempt. connected is false when the
-// server could not be reached or broke the connection.
+// Finished records the end of an attempt of this host, which held its slot for the time held.
+// connected is false when the server could not be reached or broke the connection.
 func (t *Table) Finished(s *Server, connected bool, held time.Duration, now time.Time) {
 	s.Inflight = max(s.Inflight-1, 0)
 	t.own[s.State.Kind].change(-1, now)
 	s.history.record(now, s.Inflight)
 	s.probing = false
 	if !connected {
-		pause := min(breakerFirst<<min(s.failures, 5), breakerMax)
+		pause := min(initialBreakerPause<<min(s.failures, 5), maxBreakerPause)
 		s.failures++
-		s.closedAt = now.Add(pause)
+		s.retryAt = now.Add(pause)
 		return
 	}
 	s.failures = 0
-	s.closedAt = time.Time{}
+	s.retryAt = time.Time{}
 	ms := float64(held.Milliseconds())
-	if s.serviceSum == 0 {
-		s.serviceSum = ms
+	if s.meanServiceMS == 0 {
+		s.meanServiceMS = ms
 	}
-	s.serviceSum += serviceWeight * (ms - s.serviceSum)
+	s.meanServiceMS += serviceWeight * (ms - s.meanServiceMS)
 }
 
-// defaultServiceMS is assumed before any attempt was seen to finish.
+// defaultServiceMS is assumed until an attempt has finished.
 const defaultServiceMS = 1000
 
 // ServiceMS returns the mean time an attempt holds a slot, in ms.
 func (s *Server) ServiceMS() float64 {
-	if s.serviceSum > 0 {
-		return s.serviceSum
+	if s.meanServiceMS > 0 {
+		return s.meanServiceMS
 	}
 	return defaultServiceMS
 }
 
 // Cached returns the share of the prefix chain that the server probably holds
 // (0 to 1).
-func (s *Server) Cached(prefixes []uint64) float64 { return s.cache.covered(prefixes) }
+func (s *Server) Cached(prefixes []uint64) float64 { return s.cache.heldShare(prefixes) }
 
-// CacheEvents takes a batch of cache events with consecutive numbers from first
-// on. A gap makes the view uncertain: it is dropped and built anew.
-func (s *Server) CacheEvents(first uint64, added, evicted []uint64) (gap bool) {
-	return s.cache.events(first, added, evicted)
+// CacheEvents records the batch of cache events with the given number. A gap in the numbers makes
+// the view uncertain: the view is then cleared and rebuilt from this batch on.
+func (s *Server) CacheEvents(batch uint64, added, evicted []uint64) (gap bool) {
+	return s.cache.events(batch, added, evicted)
 }
--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -18,23 +18,23 @@
 	return NewTable(Limits{Lease: 3 * time.Second, SlowStart: 10 * time.Second, Lag: 500 * time.Millisecond})
 }
 
-func TestOneServerThroughTwoHosts(t *testing.T) {
+func TestMergeKeepsNewestAnnouncement(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		inc, seq uint64
-		taken    bool
+		name       string
+		inc, seq   uint64
+		wantMerged bool
 	}{
 		{"later announcement", 2, 6, true},
-		{"the same again through another host", 2, 5, false},
-		{"earlier announcement, late", 2, 4, false},
+		{"same announcement through another host", 2, 5, false},
+		{"earlier announcement, delayed", 2, 4, false},
 		{"old incarnation", 1, 99, false},
 		{"new incarnation", 3, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tab := table()
 			tab.Merge(announcement(2, 5), start)
-			if got := tab.Merge(announcement(c.inc, c.seq), start); got != c.taken {
-				t.Errorf("taken %v, want %v", got, c.taken)
+			if got := tab.Merge(announcement(c.inc, c.seq), start); got != c.wantMerged {
+				t.Errorf("merged %v, want %v", got, c.wantMerged)
 			}
 			if len(tab.All()) != 1 {
 				t.Errorf("%d servers, want one", len(tab.All()))
@@ -60,16 +60,16 @@
 		{"after a connection failure", func(tab *Table, s *Server) {
 			tab.Started(s, nil, start)
 			tab.Finished(s, false, 0, start)
-		}, breakerFirst - 1, SkipBreaker},
+		}, initialBreakerPause - 1, SkipBreaker},
 		{"one attempt probes after the pause", func(tab *Table, s *Server) {
 			tab.Started(s, nil, start)
 			tab.Finished(s, false, 0, start)
-		}, breakerFirst, SkipNone},
+		}, initialBreakerPause, SkipNone},
 		{"a second waits for the probe", func(tab *Table, s *Server) {
 			tab.Started(s, nil, start)
 			tab.Finished(s, false, 0, start)
-			tab.Started(s, nil, start.Add(breakerFirst))
-		}, breakerFirst, SkipBreaker},
+			tab.Started(s, nil, start.Add(initialBreakerPause))
+		}, initialBreakerPause, SkipBreaker},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tab := table()
@@ -116,15 +116,15 @@
 		t.Fatalf("after an eviction: %v", s.Cached(chain))
 	}
 	if !s.CacheEvents(4, []uint64{1}, nil) {
-		t.Error("the gap was not seen")
+		t.Error("the gap was not detected")
 	}
 	if got := s.Cached(chain); got != 0.25 {
-		t.Errorf("after a gap only the new batch counts: %v, want 0.25", got)
+		t.Errorf("after a gap the view must hold only the new batch: %v, want 0.25", got)
 	}
 }
 
-// TestLagIsFound feeds reports of a known age and expects the estimate near it.
-func TestLagIsFound(t *testing.T) {
+// TestLagEstimate feeds load reports of a known age and checks that the estimated lag is within 0.5 s.
+func TestLagEstimate(t *testing.T) {
 	for _, lag := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		tab := table()
 		tab.SetSharers(2)
@@ -149,7 +149,7 @@
 			}
 		}
 		if got := tab.Lag(); got < lag-500*time.Millisecond || got > lag+500*time.Millisecond {
-			t.Errorf("lag %s found as %s", lag, got)
+			t.Errorf("lag %s estimated as %s", lag, got)
 		}
 	}
 }
--- a/internal/core/backend/cache.go
+++ b/internal/core/backend/cache.go
@@ -1,15 +1,15 @@
 package backend
 
-// cache is a host's view of the prefixes that one server holds. Announcements
-// name the hottest, events tell of additions and evictions, and prefixes that
-// this host sent there lately count as held until evidence says otherwise.
+// cache is an entry host's view of the prefixes that one server holds. Announcements contain the
+// hottest ones, events report additions and evictions, and prefixes that this host sent there
+// recently count as held until an eviction is reported or the view is cleared.
 type cache struct {
-	held map[uint64]bool
-	ring []uint64 // own and reported prefixes, oldest first
-	next uint64   // number of the next event batch
+	held      map[uint64]bool
+	ring      []uint64 // sent and reported prefixes, oldest first
+	nextBatch uint64   // expected number of the next event batch
 }
 
-// maxPrefixes bounds the view of one server.
+// maxPrefixes bounds the prefixes held for one server.
 const maxPrefixes = 4096
 
 func newCache() *cache { return &cache{held: map[uint64]bool{}} }
@@ -26,20 +26,20 @@
 	}
 }
 
-func (c *cache) advertise(prefixes []uint64) {
+func (c *cache) addAll(prefixes []uint64) {
 	for _, p := range prefixes {
 		c.add(p)
 	}
 }
 
-func (c *cache) sent(prefixes []uint64) { c.advertise(prefixes) }
+func (c *cache) recordSent(prefixes []uint64) { c.addAll(prefixes) }
 
-func (c *cache) events(first uint64, added, evicted []uint64) (gap bool) {
-	gap = c.next != 0 && first != c.next
+func (c *cache) events(batch uint64, added, evicted []uint64) (gap bool) {
+	gap = c.nextBatch != 0 && batch != c.nextBatch
 	if gap {
 		c.held, c.ring = map[uint64]bool{}, nil
 	}
-	c.next = first + 1
+	c.nextBatch = batch + 1
 	for _, p := range added {
 		c.add(p)
 	}
@@ -49,8 +49,8 @@
 	return gap
 }
 
-// covered returns the share of the chain's leading prefixes that is held.
-func (c *cache) covered(prefixes []uint64) float64 {
+// heldShare returns the share of the chain's leading prefixes that are held (0 to 1).
+func (c *cache) heldShare(prefixes []uint64) float64 {
 	n := 0
 	for _, p := range prefixes {
 		if !c.held[p] {
--- a/internal/core/backend/load.go
+++ b/internal/core/backend/load.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Load figures are stale: a report is as old as its announcement plus the
-// server's own lag, and the other hosts of the failure domain send meanwhile.
-// What a report says fades with the time in which requests come and go. So the
-// estimate moves, as the report ages, from the report to what the hosts
-// themselves have under way: this host's own attempts at the server, which it
-// knows exactly, and the server's part of what the others told of theirs. (On
-// the harm of old load figures: Mitzenmacher, "How Useful Is Old Information?",
-// IEEE TPDS 11(1), 2000.)
-
-// Loads estimates the requests at each of the servers, all of one kind, now.
+// Load reports are stale: a report is as old as its announcement plus the
+// server's own lag, and the other entry hosts of the failure domain send requests
+// meanwhile. A report loses its value over the time in which requests are
+// replaced by others. The estimate therefore shifts, as the report ages, from the
+// report to the attempts in flight: this host's own at the server, which are
+// exact, and the server's share of those that the other hosts reported. (On
+// the harm of stale load information: Mitzenmacher, "How Useful Is Old
+// Information?", IEEE TPDS 11(1), 2000.)
+
+// Loads estimates the current number of requests at each of the servers, which must be of one kind.
 func (t *Table) Loads(servers []*Server, now time.Time) []float64 {
 	out := make([]float64, len(servers))
 	if len(servers) == 0 {
@@ -24,64 +24,64 @@
 	for _, s := range servers {
 		slots += float64(s.State.Slots)
 	}
-	others := t.othersLoad(servers[0].State.Kind, now)
+	others := t.sumOtherLoads(servers[0].State.Kind, now)
 	for i, s := range servers {
-		known := float64(s.Inflight) + others*float64(s.State.Slots)/slots
-		w := t.trust(s, now)
-		out[i] = math.Max(w*t.corrected(s)+(1-w)*known, float64(s.Inflight))
+		hostLoad := float64(s.Inflight) + others*float64(s.State.Slots)/slots
+		w := t.reportWeight(s, now)
+		out[i] = math.Max(w*t.correctedLoad(s)+(1-w)*hostLoad, float64(s.Inflight))
 	}
 	return out
 }
 
-// meanLoad is a moving mean of the own attempts under way.
+// meanLoad is an exponential moving mean of this host's attempts in flight.
 type meanLoad struct {
 	inflight int
 	mean     float64
 	at       time.Time
 }
 
-// meanHalfLife is how fast the mean forgets.
-const meanHalfLife = time.Second
+// meanLoadHalfLife is the half-life of the mean.
+const meanLoadHalfLife = time.Second
 
-func (m *meanLoad) settle(now time.Time) {
+func (m *meanLoad) advance(now time.Time) {
 	if !m.at.IsZero() {
-		kept := math.Exp2(-now.Sub(m.at).Seconds() / meanHalfLife.Seconds())
-		m.mean = float64(m.inflight) + kept*(m.mean-float64(m.inflight))
+		decay := math.Exp2(-now.Sub(m.at).Seconds() / meanLoadHalfLife.Seconds())
+		m.mean = float64(m.inflight) + decay*(m.mean-float64(m.inflight))
 	}
 	m.at = now
 }
 
 func (m *meanLoad) change(n int, now time.Time) {
-	m.settle(now)
+	m.advance(now)
 	m.inflight += n
 }
 
-// OwnLoad returns the moving mean of the own attempts at servers of the kind,
-// which the other hosts are told.
+// OwnLoad returns the moving mean of this host's attempts in flight at servers of the kind, which
+// is sent to the other entry hosts.
 func (t *Table) OwnLoad(kind string, now time.Time) float64 {
 	m := t.own[kind]
-	m.settle(now)
+	m.advance(now)
 	return m.mean
 }
 
-// otherLoad is what another host told of its attempts under way.
+// otherLoad is the mean number of attempts in flight that another entry host reported.
 type otherLoad struct {
 	value float64
 	at    time.Time
 }
 
-// otherLifetime is how long another host's figure counts.
-const otherLifetime = 5 * time.Second
+// otherLoadTTL is how long the report of another entry host is used.
+const otherLoadTTL = 5 * time.Second
 
-// SetOtherLoad takes what another host of the failure domain told.
+// SetOtherLoad records the load that another entry host of the failure domain reported.
 func (t *Table) SetOtherLoad(host, kind string, value float64, now time.Time) {
 	t.others[kind][host] = otherLoad{value, now}
 }
 
-func (t *Table) othersLoad(kind string, now time.Time) float64 {
+func (t *Table) sumOtherLoads(kind string, now time.Time) float64 {
 	sum := 0.0
 	for host, l := range t.others[kind] {
-		if now.Sub(l.at) > otherLifetime {
+		if now.Sub(l.at) > otherLoadTTL {
 			delete(t.others[kind], host)
 			continue
 		}
@@ -90,34 +90,35 @@
 	return sum
 }
 
-// Outstanding estimates the requests at one server now, from its report alone.
+// Outstanding estimates the current number of requests at one server, from its own report alone.
 func (t *Table) Outstanding(s *Server) int {
-	return int(math.Round(math.Max(t.corrected(s), float64(s.Inflight))))
+	return int(math.Round(math.Max(t.correctedLoad(s), float64(s.Inflight))))
 }
 
-// corrected is the report plus what this host sent, less what it saw finish,
-// since the report was taken.
-func (t *Table) corrected(s *Server) float64 {
+// correctedLoad is the reported load plus the change of this host's attempts in flight since the
+// report was taken.
+func (t *Table) correctedLoad(s *Server) float64 {
 	reported := float64(s.State.Running + s.State.Queued)
-	taken := s.HeardAt.Add(-t.lag.value())
-	return math.Max(0, reported+float64(s.Inflight-s.history.at(taken)))
+	reportedAt := s.HeardAt.Add(-t.lag.value())
+	return math.Max(0, reported+float64(s.Inflight-s.history.at(reportedAt)))
 }
 
-// trust is the weight of a server's own report (0 to 1).
-func (t *Table) trust(s *Server, now time.Time) float64 {
+// reportWeight is the weight of a server's own report in the estimate (0 to 1).
+func (t *Table) reportWeight(s *Server, now time.Time) float64 {
 	age := now.Sub(s.HeardAt) + t.lag.value()
 	turnover := time.Duration(s.ServiceMS() * float64(time.Millisecond))
 	return math.Exp(-float64(age) / float64(max(turnover, minTurnover)))
 }
 
-// minTurnover keeps short services from making every report worthless.
+// minTurnover bounds the turnover time from below, so that reports of servers with short requests keep
+// some weight.
 const minTurnover = 500 * time.Millisecond
 
-// history is the own attempts under way, sampled in steps of historyStep.
+// history holds this host's attempts in flight at a server, sampled in steps of historyStep.
 type history struct {
-	last  int64 // number of the newest step
-	ring  [historySteps]int32
-	known bool
+	last        int64 // number of the newest step
+	ring        [historySteps]int32
+	initialized bool
 }
 
 const (
@@ -127,8 +128,8 @@
 
 func (h *history) record(now time.Time, inflight int) {
 	step := now.UnixNano() / int64(historyStep)
-	if !h.known {
-		h.known, h.last = true, step
+	if !h.initialized {
+		h.initialized, h.last = true, step
 	}
 	previous := h.ring[h.last%historySteps]
 	if step-h.last >= historySteps {
@@ -141,9 +142,9 @@
 	h.ring[step%historySteps] = int32(inflight)
 }
 
-// at returns the attempts under way at a past time.
+// at returns the attempts in flight at a past time; for a time before the history, its oldest value.
 func (h *history) at(t time.Time) int {
-	if !h.known {
+	if !h.initialized {
 		return 0
 	}
 	step := min(t.UnixNano()/int64(historyStep), h.last)
@@ -153,53 +154,53 @@
 	return int(h.ring[step%historySteps])
 }
 
-// lagCandidates are the lags that are told apart.
+// lagCandidates are the lags among which lagEstimate selects.
 var lagCandidates = []time.Duration{
 	0, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2 * time.Second,
 	3 * time.Second, 4 * time.Second, 5 * time.Second, 6 * time.Second,
 }
 
 const (
-	lagMemory  = 0.995 // weight of the past at each report
-	lagSamples = 60    // reports before the estimate is used
+	lagErrorDecay = 0.995 // factor on the accumulated errors at each report
+	minLagSamples = 60    // reports before the estimate is used
 )
 
-// lagEstimate finds the lag of the servers' load figures: the one at which the
-// reports fit best what this host had under way, times the hosts that share.
+// lagEstimate estimates the lag of the servers' load reports: the candidate at which the reports
+// deviate least from this host's attempts in flight at that time, times the hosts that send.
 type lagEstimate struct {
-	assumed time.Duration
-	errors  []float64
-	samples int
+	assumed       time.Duration
+	squaredErrors []float64
+	samples       int
 }
 
 func newLagEstimate(assumed time.Duration) lagEstimate {
-	return lagEstimate{assumed: assumed, errors: make([]float64, len(lagCandidates))}
+	return lagEstimate{assumed: assumed, squaredErrors: make([]float64, len(lagCandidates))}
 }
 
-func (l *lagEstimate) observe(s *Server, sharers float64) {
+func (l *lagEstimate) observe(s *Server, senders float64) {
 	reported := float64(s.State.Running + s.State.Queued)
 	if reported == 0 && s.Inflight == 0 {
 		return
 	}
 	l.samples++
 	for i, lag := range lagCandidates {
-		miss := reported - sharers*float64(s.history.at(s.HeardAt.Add(-lag)))
-		l.errors[i] = lagMemory*l.errors[i] + miss*miss
+		residual := reported - senders*float64(s.history.at(s.HeardAt.Add(-lag)))
+		l.squaredErrors[i] = lagErrorDecay*l.squaredErrors[i] + residual*residual
 	}
 }
 
 func (l *lagEstimate) value() time.Duration {
-	if l.samples < lagSamples {
+	if l.samples < minLagSamples {
 		return l.assumed
 	}
 	best := 0
-	for i, e := range l.errors {
-		if e < l.errors[best] {
+	for i, e := range l.squaredErrors {
+		if e < l.squaredErrors[best] {
 			best = i
 		}
 	}
 	return lagCandidates[best]
 }
 
-// Lag returns the estimated lag of the servers' load figures.
+// Lag returns the estimated lag of the servers' load reports.
 func (t *Table) Lag() time.Duration { return t.lag.value() }
--- a/internal/core/holders/holders.go
+++ b/internal/core/holders/holders.go
@@ -56,7 +56,7 @@
 
 type entry struct {
 	place      Place
-	origin     string // ID of the entry host that reported the place here; "" if a control host forwarded it
+	origin     string // ID of the entry host that reported it; "" if a control host forwarded it
 	sameDomain bool   // forwarded by a control host of this failure domain
 }
 
@@ -105,8 +105,8 @@
 	return l.filterFrom(from, func(e entry) bool { return e.origin != "" })
 }
 
-// OfDomain returns the places from a position on that entry hosts reported to this control host or to
-// another one of its failure domain, and the position for the next call.
+// OfDomain returns the places from a position on that entry hosts reported to this control host or
+// to another one of its failure domain, and the position for the next call.
 func (l *Log) OfDomain(from uint64) ([]Place, uint64) {
 	return l.filterFrom(from, func(e entry) bool { return e.origin != "" || e.sameDomain })
 }
--- a/internal/core/serverload/serverload.go
+++ b/internal/core/serverload/serverload.go
@@ -1,8 +1,8 @@
 // Package serverload represents the work that entry hosts have in flight at backend servers,
 // which they exchange through the control hosts. Servers are identified by 4-byte keys (see
-// package holders) rather than IDs: the load of a busy server then takes 14 bytes instead of 27, and
-// is sent four times a second to each entry host of its region. Two servers whose keys collide
-// share one load.
+// package holders) rather than IDs: the load of a busy server then takes 14 bytes instead of
+// 27, and is sent four times a second to each entry host of its region. Two servers whose keys
+// collide share one load.
 package serverload
 
 import (
