--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// newState knows so many servers and other failure domains.
+// newState returns a state with the given numbers of servers and of other failure domains, and a job.
 func newState(servers, domains int) (*State, *Job) {
 	rnd := rand.New(rand.NewSource(1))
 	s := New(Options{
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkAcquire is one placement with its release, by what the host knows.
+// BenchmarkAcquire measures a placement with its release, by the size of the host's view.
 func BenchmarkAcquire(b *testing.B) {
 	for _, c := range []struct{ servers, domains int }{{4, 2}, {32, 2}, {32, 25}, {128, 25}} {
 		b.Run(fmt.Sprintf("servers=%d/domains=%d", c.servers, c.domains), func(b *testing.B) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkSummaryMerge is one summary received from another failure domain.
+// BenchmarkSummaryMerge measures the merge of a summary from another failure domain.
 func BenchmarkSummaryMerge(b *testing.B) {
 	s, _ := newState(4, 25)
 	sum := &pb.Summary{FailureDomain: "d0", Region: "d0", Hosts: []string{"x"}}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement gives requests their places: it joins what a host knows
-// (backend servers, other failure domains), the routing decision and the
-// admission queue into one state machine. The entry host drives it with real
+// Package placement assigns requests to backend servers or other failure
+// domains. It combines an entry host's view of both, the routing decision and
+// the admission queue in one state machine. The entry host runs it with real
 // time, the policy benchmarks with virtual time.
 package placement
 
@@ -20,7 +20,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Job is a request as far as placement needs it.
+// Job holds the properties of a request that placement needs.
 type Job struct {
 	Team      string
 	Weight    float64
@@ -31,54 +31,55 @@
 	Tokens    float64 // of the prompt
 	MaxTokens float64
 	Deadline  time.Time
-	Permitted []string        // regions
-	Forwarded bool            // came from another entry host: own servers only
-	Avoid     map[string]bool // servers and failure domains that failed
-	Ends      int             // servers that ended while they ran the request
+	Permitted []string        // regions that the residency rules permit
+	Forwarded bool            // came from another entry host: only own servers may run it
+	Avoid     map[string]bool // failed servers and failure domains, by ID or name
+	Ends      int             // number of servers whose process ended while they ran the request
 	Policy    configstate.Policy
 }
 
-// Cost weighs a job for the teams' shares: about one for an ordinary size.
+// Cost returns the weight of a job in the teams' fair shares: about 1 for a job of ordinary size.
 func (j *Job) Cost() float64 {
 	const ordinary, promptDiscount, floor = 500, 8, 0.2
 	return floor + (j.Tokens/promptDiscount+j.MaxTokens)/ordinary
 }
 
-// name tells models and services of the same name apart.
-func (j *Job) name() string { return SummaryName(j.Kind, j.Target) }
+// targetName is SummaryName of the job's target.
+func (j *Job) targetName() string { return SummaryName(j.Kind, j.Target) }
 
-// SummaryName is the name of a target in summaries.
+// SummaryName returns the name of a target in summaries. It distinguishes models and services of the
+// same name.
 func SummaryName(kind, target string) string { return kind + "/" + target }
 
-// Place is where an attempt goes: a backend server, or another failure domain.
+// Place is the destination of an attempt: a backend server or another failure domain.
 type Place struct {
-	Server   *backend.Server // nil with a failure domain
+	Server   *backend.Server // nil when the destination is a failure domain
 	ServerID string
 	Address  string
 	Domain   string
 	Region   string
 	Decision routing.Decision
 	Started  time.Time
-	target   string // with a failure domain: name of the target in summaries
+	target   string // for a failure domain: name of the target in summaries
 }
 
-// Grant is a place for a job that waited.
+// Grant is the outcome for a job that waited.
 type Grant struct {
 	Waiter *admission.Waiter
 	Place  *Place // nil when the job is refused
 	Err    error
 }
 
-// Remote is what is known of another failure domain.
+// Remote is the view of another failure domain.
 type Remote struct {
-	Summary  *pb.Summary
-	At       time.Time          // when the summary was made, on this host's clock
-	Direct   bool               // received from that failure domain itself
-	Latency  time.Duration      // one-way, moving mean
-	inflight map[string]float64 // own forwards under way, by target
-	base     map[string]float64 // the same when the summary arrived
-	lastSent map[string]time.Time
-	suspect  map[string]time.Time // hosts that could not be reached
+	Summary           *pb.Summary
+	At                time.Time          // when the summary was made, on this host's clock
+	Direct            bool               // received from that failure domain itself
+	Latency           time.Duration      // one-way, moving mean
+	inflight          map[string]float64 // this host's forwards in flight, by target
+	inflightAtSummary map[string]float64 // inflight when the summary arrived
+	lastSent          map[string]time.Time
+	unreachableAt     map[string]time.Time // time of the last failure to reach an entry host there
 }
 
 // Options configures a State.
@@ -90,7 +91,7 @@
 	Random        func() float64 // in [0, 1)
 }
 
-// State is one host's knowledge and queue. It is not safe for concurrent use.
+// State holds one entry host's view and queue. It is not safe for concurrent use.
 type State struct {
 	o       Options
 	Table   *backend.Table
@@ -98,10 +99,10 @@
 	queue   *admission.Queue
 	waiting map[*admission.Waiter]*Job
 	share   share
-	senders float64 // entry hosts outside a failure domain, about
+	senders float64 // entry hosts that may forward to one failure domain, estimated
 }
 
-// New returns a state that knows nothing yet.
+// New returns a state with an empty view and queue.
 func New(o Options) *State {
 	return &State{
 		o: o, Table: backend.NewTable(o.Limits), remotes: map[string]*Remote{},
@@ -109,23 +110,24 @@
 	}
 }
 
-// SetSenders fixes how many entry hosts may send to one failure domain.
+// SetSenders sets how many entry hosts may forward to one failure domain.
 func (s *State) SetSenders(n int) { s.senders = float64(max(n, 1)) }
 
 // Waiting returns the number of waiting jobs.
 func (s *State) Waiting() int { return s.queue.Len() }
 
-// AwayShare returns the moving share of requests sent to another region.
+// AwayShare returns the moving share of requests that are sent to another region.
 func (s *State) AwayShare(now time.Time) float64 { return s.share.value(now) }
 
-// MergeSummary takes a summary; an older one than the one held is ignored.
+// MergeSummary records a summary, unless the held one is as new. direct tells that it was received
+// from the failure domain itself.
 func (s *State) MergeSummary(m *pb.Summary, now time.Time, direct bool) {
 	if m.FailureDomain == s.o.FailureDomain {
 		return
 	}
 	r := s.remotes[m.FailureDomain]
 	if r == nil {
-		r = &Remote{inflight: map[string]float64{}, lastSent: map[string]time.Time{}, suspect: map[string]time.Time{}}
+		r = &Remote{inflight: map[string]float64{}, lastSent: map[string]time.Time{}, unreachableAt: map[string]time.Time{}}
 		s.remotes[m.FailureDomain] = r
 	}
 	if r.Summary != nil && m.Sequence <= r.Summary.Sequence {
@@ -133,13 +135,13 @@
 	}
 	r.Summary, r.Direct = m, direct
 	r.At = now.Add(-time.Duration(m.AgeMs) * time.Millisecond)
-	r.base = maps.Clone(r.inflight)
+	r.inflightAtSummary = maps.Clone(r.inflight)
 }
 
-// Remote returns what is known of another failure domain, or nil.
+// Remote returns the view of another failure domain, or nil if it is unknown.
 func (s *State) Remote(domain string) *Remote { return s.remotes[domain] }
 
-// Remotes returns the other failure domains known, sorted by name.
+// Remotes returns the views of the other failure domains, sorted by name.
 func (s *State) Remotes() []*Remote {
 	out := make([]*Remote, 0, len(s.remotes))
 	for _, r := range s.remotes {
@@ -164,24 +166,24 @@
 	r.Latency += time.Duration(latencyWeight * float64(oneWay-r.Latency))
 }
 
-// Acquire returns a place at once when one is free. Else the job waits (w is
-// then not nil) or is refused: because nothing in reach serves its target, or
-// because it would wait beyond its deadline.
+// Acquire returns a place at once if one is free. Otherwise the job waits (w is then not nil) or is
+// refused: because no reachable server serves its target, or because its first token is expected
+// after its deadline.
 func (s *State) Acquire(j *Job, now time.Time) (p *Place, w *admission.Waiter, d routing.Decision, err error) {
 	d = s.decide(j, now)
-	if d.Kind == routing.Nowhere && !s.canEver(j, now) {
-		return nil, nil, d, failure.New(failure.NoServer, failure.NotRun, "no backend server in reach serves %q", j.Target).
-			WithRetryAfter(noServerRetry)
+	if d.Kind == routing.Nowhere && !s.hasCandidate(j, now) {
+		return nil, nil, d, failure.New(failure.NoServer, failure.NotRun, "no reachable backend server serves %q", j.Target).
+			WithRetryAfter(noServerRetryAfter)
 	}
 	if tooLate(j, d, now) {
 		return nil, nil, d, lateError(j, d, now)
 	}
 	if d.Kind != routing.Nowhere && s.queue.Len() == 0 {
-		s.queue.Passed(j.name(), now)
-		return s.take(j, d, now), nil, d, nil
+		s.queue.Passed(j.targetName(), now)
+		return s.reserve(j, d, now), nil, d, nil
 	}
 	w = &admission.Waiter{
-		Team: j.Team, Weight: j.Weight, Priority: j.Priority, Cost: j.Cost(), Target: j.name(), Deadline: j.Deadline,
+		Team: j.Team, Weight: j.Weight, Priority: j.Priority, Cost: j.Cost(), Target: j.targetName(), Deadline: j.Deadline,
 	}
 	if err := s.queue.Offer(w, now, s.o.Random); err != nil {
 		return nil, nil, d, err
@@ -190,11 +192,11 @@
 	return nil, w, d, nil
 }
 
-// noServerRetry is when to come back after no server could be found: a lease
-// and a summary later the picture may be another.
-const noServerRetry = 2 * time.Second
+// noServerRetryAfter is the Retry-After for a refusal because no server was found: by then a lease may
+// have been renewed and a summary received.
+const noServerRetryAfter = 2 * time.Second
 
-// Cancel takes a waiting job out; false when it was granted already.
+// Cancel removes a waiting job. It reports false if the job was granted already.
 func (s *State) Cancel(w *admission.Waiter) bool {
 	if s.waiting[w] == nil {
 		return false
@@ -203,13 +205,13 @@
 	return s.queue.Cancel(w)
 }
 
-// Grants hands free places to the jobs that go next, and refuses those whose
-// deadline has passed.
+// Grants assigns free places to the jobs that are next in the queue, and refuses those whose
+// deadline has passed or would be missed.
 func (s *State) Grants(now time.Time) []Grant {
 	var out []Grant
 	for _, w := range s.queue.Expired(now) {
-		err := failure.New(failure.DeadlineExceeded, failure.NotRun, "no place came free before the deadline").
-			WithRetryAfter(expiredRetry)
+		err := failure.New(failure.DeadlineExceeded, failure.NotRun, "no capacity became free before the deadline").
+			WithRetryAfter(expiredRetryAfter)
 		out = append(out, Grant{Waiter: w, Err: err})
 		delete(s.waiting, w)
 	}
@@ -224,9 +226,9 @@
 		}
 		j := s.waiting[w]
 		delete(s.waiting, w)
-		// The verdict was for the first job of the target; this one may differ.
+		// The decision was made for the first job of the target; another job may get another one.
 		if d = s.decide(j, now); d.Kind == routing.Nowhere {
-			err := failure.New(failure.NoServer, failure.NotRun, "no permitted place for this request").WithRetryAfter(noServerRetry)
+			err := failure.New(failure.NoServer, failure.NotRun, "no permitted backend server or failure domain can take this request").WithRetryAfter(noServerRetryAfter)
 			out = append(out, Grant{Waiter: w, Err: err})
 			continue
 		}
@@ -234,13 +236,13 @@
 			out = append(out, Grant{Waiter: w, Err: lateError(j, d, now)})
 			continue
 		}
-		out = append(out, Grant{Waiter: w, Place: s.take(j, d, now)})
+		out = append(out, Grant{Waiter: w, Place: s.reserve(j, d, now)})
 	}
 	return out
 }
 
-// tooLate reports whether the first token is expected after the deadline. Work
-// that would be late is not started: it would only take capacity from the rest.
+// tooLate reports whether the first token is expected after the deadline. Such work is not started,
+// because it would take capacity from requests that can still meet theirs.
 func tooLate(j *Job, d routing.Decision, now time.Time) bool {
 	if d.Kind == routing.Nowhere || j.Deadline.IsZero() {
 		return false
@@ -249,20 +251,20 @@
 }
 
 func lateError(j *Job, d routing.Decision, now time.Time) error {
-	missing := now.Add(time.Duration(d.EstimateMS * float64(time.Millisecond))).Sub(j.Deadline)
+	lateBy := now.Add(time.Duration(d.EstimateMS * float64(time.Millisecond))).Sub(j.Deadline)
 	return failure.New(failure.DeadlineTooShort, failure.NotRun,
-		"the first token is expected %s after the deadline", missing.Round(time.Millisecond)).
-		WithRetryAfter(min(max(missing, minLateRetry), maxLateRetry))
+		"the first token is expected %s after the deadline", lateBy.Round(time.Millisecond)).
+		WithRetryAfter(min(max(lateBy, minLateRetryAfter), maxLateRetryAfter))
 }
 
-// Bounds of the time to come back for work that would have been late.
+// Bounds of the Retry-After for work that would miss its deadline.
 const (
-	minLateRetry = 500 * time.Millisecond
-	maxLateRetry = 30 * time.Second
+	minLateRetryAfter = 500 * time.Millisecond
+	maxLateRetryAfter = 30 * time.Second
 )
 
-// expiredRetry is when to come back after a wait that reached the deadline.
-const expiredRetry = time.Second
+// expiredRetryAfter is the Retry-After for a job whose deadline passed while it waited.
+const expiredRetryAfter = time.Second
 
 func (s *State) decide(j *Job, now time.Time) routing.Decision {
 	w := routing.Weights{
@@ -292,49 +294,50 @@
 	return out
 }
 
-// assumedPrefill is the prompt rate, in tokens per second, assumed of servers
-// in other failure domains.
-const assumedPrefill = 8000
+// assumedPrefillRate is the prefill rate assumed for servers in other failure domains, in tokens per
+// second.
+const assumedPrefillRate = 8000
 
-// stickiness is how long a failure domain that was sent to counts as in use.
-const stickiness = 5 * time.Second
+// stickyPeriod is how long after a forward a failure domain counts as in use, for the same target.
+const stickyPeriod = 5 * time.Second
 
-// remoteDomains returns the other failure domains that the residency rules permit.
+// remoteDomains returns the other failure domains that serve the job's target, are reachable and
+// are permitted by the residency rules.
 func (s *State) remoteDomains(j *Job, now time.Time) []routing.Remote {
 	if j.Forwarded {
 		return nil
 	}
 	var out []routing.Remote
 	for _, r := range s.Remotes() {
-		m := r.model(j.name())
+		m := r.modelSummary(j.targetName())
 		if m == nil || !slices.Contains(j.Permitted, r.Summary.Region) || j.Avoid[r.Summary.FailureDomain] || len(r.reachable(now)) == 0 {
 			continue
 		}
 		out = append(out, routing.Remote{
 			FailureDomain: r.Summary.FailureDomain, Region: r.Summary.Region, OtherRegion: r.Summary.Region != s.o.Region,
 			Slots: float64(m.Slots), Outstanding: float64(m.Running), ServiceMS: float64(m.ServiceMs),
-			WaitMS: float64(m.WaitMs) + j.Tokens/assumedPrefill*1000, Age: now.Sub(r.At),
-			NetworkMS: float64(r.Latency.Microseconds()) / 1000, Sent: max(0, r.inflight[j.name()]-r.base[j.name()]),
-			Senders: s.senders, Sticky: now.Sub(r.lastSent[j.name()]) < stickiness,
+			WaitMS: float64(m.WaitMs) + j.Tokens/assumedPrefillRate*1000, Age: now.Sub(r.At),
+			NetworkMS: float64(r.Latency.Microseconds()) / 1000, Sent: max(0, r.inflight[j.targetName()]-r.inflightAtSummary[j.targetName()]),
+			Senders: s.senders, Sticky: now.Sub(r.lastSent[j.targetName()]) < stickyPeriod,
 		})
 	}
 	return out
 }
 
-// unreachableFor is how long a host that could not be reached is left out.
-const unreachableFor = 3 * time.Second
+// unreachablePeriod is how long an entry host that could not be reached gets no forwards.
+const unreachablePeriod = 3 * time.Second
 
 func (r *Remote) reachable(now time.Time) []string {
 	var out []string
 	for _, id := range r.Summary.Hosts {
-		if now.Sub(r.suspect[id]) > unreachableFor {
+		if now.Sub(r.unreachableAt[id]) > unreachablePeriod {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func (r *Remote) model(name string) *pb.ModelSummary {
+func (r *Remote) modelSummary(name string) *pb.ModelSummary {
 	for _, m := range r.Summary.Models {
 		if m.Name == name {
 			return m
@@ -343,14 +346,14 @@
 	return nil
 }
 
-// canEver reports whether waiting makes sense: something serves the target,
-// though it may be full now.
-func (s *State) canEver(j *Job, now time.Time) bool {
+// hasCandidate reports whether any server or failure domain serves the target, even if all are full
+// now: only then can the job wait.
+func (s *State) hasCandidate(j *Job, now time.Time) bool {
 	return len(s.localServers(j, now)) > 0 || len(s.remoteDomains(j, now)) > 0
 }
 
-// take books the place that the decision names.
-func (s *State) take(j *Job, d routing.Decision, now time.Time) *Place {
+// reserve books the place that the decision selects, and returns it.
+func (s *State) reserve(j *Job, d routing.Decision, now time.Time) *Place {
 	p := &Place{Decision: d, Started: now}
 	s.share.add(d.Kind == routing.Forward && d.Away, now)
 	if d.Kind == routing.Local {
@@ -360,17 +363,17 @@
 		return p
 	}
 	r := s.remotes[d.Domain]
-	r.inflight[j.name()]++
-	p.target = j.name()
-	r.lastSent[j.name()] = now
+	r.inflight[j.targetName()]++
+	p.target = j.targetName()
+	r.lastSent[j.targetName()] = now
 	hosts := r.reachable(now)
 	p.ServerID = hosts[int(s.o.Random()*float64(len(hosts)))]
 	p.Domain, p.Region = d.Domain, r.Summary.Region
 	return p
 }
 
-// Release gives a place back. connected is false when the other end could not
-// be reached or broke the connection.
+// Release frees a place. connected is false when the server or entry host could not be reached or
+// broke the connection.
 func (s *State) Release(p *Place, connected bool, now time.Time) {
 	if p.Server != nil {
 		s.Table.Finished(p.Server, connected, now.Sub(p.Started), now)
@@ -382,11 +385,11 @@
 	}
 	r.inflight[p.target] = max(0, r.inflight[p.target]-1)
 	if !connected {
-		r.suspect[p.ServerID] = now
+		r.unreachableAt[p.ServerID] = now
 	}
 }
 
-// Summarise adds up this failure domain's servers for each model and service.
+// Summarise returns the sums of this failure domain's usable servers, for each model and service.
 func (s *State) Summarise(hosts []string, now time.Time) *pb.Summary {
 	out := &pb.Summary{FailureDomain: s.o.FailureDomain, Region: s.o.Region, Sequence: uint64(now.UnixMilli()), Hosts: hosts}
 	sums := map[string]*pb.ModelSummary{}
@@ -395,7 +398,7 @@
 			continue
 		}
 		for _, m := range srv.State.Models {
-			s.addServer(sums, SummaryName(srv.State.Kind, m), srv, now)
+			s.addToSummary(sums, SummaryName(srv.State.Kind, m), srv, now)
 		}
 	}
 	for _, m := range sums {
@@ -405,32 +408,32 @@
 	return out
 }
 
-// maxWaitMS bounds the wait stated in a summary.
+// maxWaitMS bounds the wait in a summary, in ms.
 const maxWaitMS = 1e9
 
-func (s *State) addServer(sums map[string]*pb.ModelSummary, name string, srv *backend.Server, now time.Time) {
+func (s *State) addToSummary(sums map[string]*pb.ModelSummary, name string, srv *backend.Server, now time.Time) {
 	m := sums[name]
 	if m == nil {
 		m = &pb.ModelSummary{Name: name, WaitMs: maxWaitMS}
 		sums[name] = m
 	}
 	slots := float64(srv.State.Slots) * s.Table.Ramp(srv, now)
-	out := s.Table.Outstanding(srv)
+	outstanding := s.Table.Outstanding(srv)
 	m.Servers++
 	m.Slots += uint32(math.Round(slots))
-	m.Running += uint32(out)
+	m.Running += uint32(outstanding)
 	m.ServiceMs = uint32(srv.ServiceMS())
-	wait := routing.Estimate(routing.Query{}, routing.Server{Slots: slots, Outstanding: float64(out), ServiceMS: srv.ServiceMS()}, 1)
+	wait := routing.Estimate(routing.Query{}, routing.Server{Slots: slots, Outstanding: float64(outstanding), ServiceMS: srv.ServiceMS()}, 1)
 	m.WaitMs = min(m.WaitMs, uint32(min(wait, maxWaitMS)))
 }
 
-// share is the moving share of requests sent to another region.
+// share is an exponentially decaying share of requests sent to another region.
 type share struct {
 	away, total float64
 	last        time.Time
 }
 
-// shareHalfLife is how fast the share forgets.
+// shareHalfLife is the half-life of the counts in a share.
 const shareHalfLife = 30 * time.Second
 
 func (s *share) decay(now time.Time) {
@@ -449,8 +452,8 @@
 	}
 }
 
-// value returns the share; the prior of a few requests at home keeps the first
-// request of an idle host from counting as a share of one.
+// value returns the share (0 to 1). A prior of a few local requests keeps the first request of an
+// idle host from counting as a share of 1.
 func (s *share) value(now time.Time) float64 {
 	s.decay(now)
 	const prior = 5
