--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -21,7 +21,7 @@
 type Limits struct {
 	Lease     time.Duration // validity of an announcement
 	SlowStart time.Duration // time until a new server gets its full share
-	Lag       time.Duration // assumed age of a load figure when it is announced
+	Lag       time.Duration // assumed age of a load report when it is announced
 }
 
 // Circuit breaker pauses: after a connection failure no attempt is made at a server for a
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -119,8 +119,8 @@
 // AwayShare returns the moving share of requests that are sent to another region.
 func (s *State) AwayShare(now time.Time) float64 { return s.share.value(now) }
 
-// MergeSummary records a summary, unless the held one is as new. direct tells that it was received
-// from the failure domain itself.
+// MergeSummary records a summary. It ignores one that is not newer than the summary held. direct
+// is true if the summary was received from the failure domain itself.
 func (s *State) MergeSummary(m *pb.Summary, now time.Time, direct bool) {
 	if m.FailureDomain == s.o.FailureDomain {
 		return
--- a/internal/core/registry/hosts.go
+++ b/internal/core/registry/hosts.go
@@ -109,7 +109,7 @@
 }
 
 // HearHostAgain records that another control host, which sent the full entry of an entry host
-// before, still receives its sync requests; owned tells whether that control host owns the host's
+// before, still receives its sync requests; owned is true if that control host owns the host's
 // loads. It reports whether the host is known here.
 func (r *Registry) HearHostAgain(key uint32, owned, ready bool, via string, heardAt, now time.Time) bool {
 	known := r.hostByKey[key]
@@ -188,10 +188,10 @@
 	}
 }
 
-// speakerTimeout is how long after the last message of a failure domain's representative the next
+// representativeTimeout is how long after the last message of a failure domain's representative the next
 // control host of that failure domain takes over: three exchanges. Two representatives at a time
 // do no harm.
-const speakerTimeout = time.Second
+const representativeTimeout = time.Second
 
 // Speaks reports whether this control host, at ownAddress, represents its failure domain to other
 // regions: no control host of the failure domain with a lower address has sent a message within
@@ -199,7 +199,7 @@
 // with the number of control hosts.
 func (r *Registry) Speaks(ownAddress string, now time.Time) bool {
 	for _, c := range r.controls {
-		if c.FailureDomain == r.o.FailureDomain && c.Peer < ownAddress && now.Sub(c.HeardAt) <= speakerTimeout {
+		if c.FailureDomain == r.o.FailureDomain && c.Peer < ownAddress && now.Sub(c.HeardAt) <= representativeTimeout {
 			return false
 		}
 	}
--- a/internal/core/speed/speed.go
+++ b/internal/core/speed/speed.go
@@ -43,7 +43,7 @@
 	// event, in tokens: it takes the engine one or two steps.
 	maxShortPromptTokens = 400.0
 	// maxAheadShare limits the prefill queued ahead of a sampled long prompt, as a share of the
-	// prompt's own prefill: the work of other entry hosts is known with a delay of 0.3 s.
+	// prompt's own prefill: the loads of other entry hosts arrive with a delay of 0.3 s.
 	maxAheadShare = 0.25
 	// maxAheadTokens is the same limit for short prompts, in tokens.
 	maxAheadTokens = 200.0
