--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -133,20 +133,20 @@
 	return s.State.Kind == kind && slices.Contains(s.State.Models, name)
 }
 
-// Skip is the reason why a server gets no new work.
-type Skip string
+// SkipReason is the reason why a server gets no new work.
+type SkipReason string
 
 // Reasons to skip a server.
 const (
-	SkipNone    Skip = ""
-	SkipLeaving Skip = "leaving"
-	SkipLapsed  Skip = "lease lapsed"
-	SkipBreaker Skip = "breaker open"
-	SkipFull    Skip = "queue full"
+	SkipNone    SkipReason = ""
+	SkipLeaving SkipReason = "leaving"
+	SkipLapsed  SkipReason = "lease lapsed"
+	SkipBreaker SkipReason = "breaker open"
+	SkipFull    SkipReason = "queue full"
 )
 
 // Usable returns why the server must not be given new work, or SkipNone.
-func (t *Table) Usable(s *Server, now time.Time) Skip {
+func (t *Table) Usable(s *Server, now time.Time) SkipReason {
 	switch {
 	case s.State.Leaving:
 		return SkipLeaving
--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -48,7 +48,7 @@
 		name string
 		prep func(*Table, *Server)
 		at   time.Duration
-		want Skip
+		want SkipReason
 	}{
 		{"usable", func(*Table, *Server) {}, time.Second, SkipNone},
 		{"lease lapsed", func(*Table, *Server) {}, 3*time.Second + 1, SkipLapsed},
--- a/internal/core/registry/hosts.go
+++ b/internal/core/registry/hosts.go
@@ -188,15 +188,15 @@
 	}
 }
 
-// representativeTimeout is how long after the last message of a failure domain's representative the next
-// control host of that failure domain takes over: three exchanges. Two representatives at a time
-// do no harm.
+// representativeTimeout is how long after the last message of a failure domain's representative
+// the next control host of that failure domain takes over: three exchanges. Two representatives at
+// a time do no harm.
 const representativeTimeout = time.Second
 
 // Speaks reports whether this control host, at ownAddress, represents its failure domain to other
 // regions: no control host of the failure domain with a lower address has sent a message within
-// speakerTimeout. Traffic between regions thus grows with the number of failure domains and not
-// with the number of control hosts.
+// representativeTimeout. Traffic between regions thus grows with the number of failure domains and
+// not with the number of control hosts.
 func (r *Registry) Speaks(ownAddress string, now time.Time) bool {
 	for _, c := range r.controls {
 		if c.FailureDomain == r.o.FailureDomain && c.Peer < ownAddress && now.Sub(c.HeardAt) <= representativeTimeout {
