--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -1,9 +1,9 @@
-// Package incarnation tells the starts of a backend server apart that run under one ID. A
-// start is the time at which the process began, in Unix ms by the server's own clock; 0
-// when it was not told.
+// Package incarnation distinguishes successive processes of a backend server that run under
+// one ID. A process is identified by its start: the time at which it began, in Unix ms by
+// the server's own clock, or 0 if it was not reported.
 //
-// Invariants: nothing that is known of one start is used for another, and a start that was
-// replaced never comes back.
+// Invariants: state recorded for one start is never used for another, and a start that was
+// replaced never becomes current again.
 package incarnation
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order is how a start that is heard of stands to the one that is known.
+// Order is how a reported start relates to the current one.
 type Order int
 
 // Orders.
@@ -23,49 +23,50 @@
 	Older
 )
 
-// pastKept bounds the replaced starts that are remembered: a server that restarts every
+// maxReplacedStarts bounds the replaced starts that are remembered: a server that restarts every
 // few seconds replaces this many within the time for which an announcement can be held up.
-const pastKept = 64
+const maxReplacedStarts = 64
 
-// History is the known start of a server with those that it replaced.
+// History holds the current start of a server and the starts that it replaced.
 type History struct {
-	Current int64
-	past    []int64
+	Current  int64
+	replaced []int64
 }
 
-// Compare tells how a start stands to the known one. silent says that the known one has
-// not been heard for as long as its announcements hold: only then is a lower start that was
-// never seen taken for a newer one, whose clock was set back. A start that is not told
-// is taken for the known one.
-func (h *History) Compare(start int64, silent bool) Order {
+// Compare returns how a reported start relates to the current one. currentExpired reports
+// that the announcements of the current start have expired. Only then does a lower start
+// that was never recorded count as newer, because the server's clock may have been set
+// back. A start of 0 (not reported) counts as the current one.
+func (h *History) Compare(start int64, currentExpired bool) Order {
 	switch {
 	case start == h.Current, start == 0, h.Current == 0:
 		return Same
-	case slices.Contains(h.past, start):
+	case slices.Contains(h.replaced, start):
 		return Older
-	case start > h.Current, silent:
+	case start > h.Current, currentExpired:
 		return Newer
 	}
 	return Older
 }
 
-// Advance makes a start the known one.
+// Advance makes a start the current one. It ignores a start of 0.
 func (h *History) Advance(start int64) {
 	if start == 0 || start == h.Current {
 		return
 	}
 	if h.Current != 0 {
-		h.past = append(h.past, h.Current)
-		if over := len(h.past) - pastKept; over > 0 {
-			h.past = slices.Clone(h.past[over:])
+		h.replaced = append(h.replaced, h.Current)
+		if excess := len(h.replaced) - maxReplacedStarts; excess > 0 {
+			h.replaced = slices.Clone(h.replaced[excess:])
 		}
 	}
 	h.Current = start
 }
 
-// Key returns the key of a server's start in messages between hosts. Four bytes each keep
-// the loads and hints of a region small; two starts with one key share their figures, which
-// makes a hint wrong. Without a start it is the key of the ID.
+// Key returns the hash that identifies a server's start in messages between hosts. Four
+// bytes per server keep the loads and hints of a region small. Two starts whose hashes
+// collide share their loads, and a hint may then name the wrong server. For a start of 0,
+// it is the hash of the ID alone.
 func Key(id string, start int64) uint32 {
 	if start != 0 {
 		id += "\x00" + strconv.FormatInt(start, 10)
--- a/internal/core/rendezvous/rendezvous_test.go
+++ b/internal/core/rendezvous/rendezvous_test.go
@@ -16,28 +16,28 @@
 
 func TestFirstOfNone(t *testing.T) {
 	if got := First("k", nil); got != "" {
-		t.Errorf("got %q", got)
+		t.Errorf("First of no members returned %q, want an empty string", got)
 	}
 }
 
-// TestKeysMoveWithTheirMember takes a member away: only its keys have another one, in
-// whatever order the members are named.
+// TestKeysMoveWithTheirMember removes a member: only the keys that it owned get another
+// owner, whatever the order of the member list.
 func TestKeysMoveWithTheirMember(t *testing.T) {
 	all := members(4)
-	without := slices.Clone(all[:3])
-	slices.Reverse(without)
-	held := map[string]int{}
+	remaining := slices.Clone(all[:3])
+	slices.Reverse(remaining)
+	keysOwned := map[string]int{}
 	for i := range 1000 {
 		key := fmt.Sprint("host-", i)
-		before, after := First(key, all), First(key, without)
-		held[before]++
+		before, after := First(key, all), First(key, remaining)
+		keysOwned[before]++
 		if before != all[3] && after != before {
-			t.Fatalf("%s moved from %s to %s though %s went", key, before, after, all[3])
+			t.Fatalf("%s moved from %s to %s, but the removed member is %s", key, before, after, all[3])
 		}
 	}
 	for _, m := range all {
-		if held[m] < 200 || held[m] > 300 {
-			t.Errorf("%s holds %d of 1000 keys", m, held[m])
+		if keysOwned[m] < 200 || keysOwned[m] > 300 {
+			t.Errorf("%s owns %d of 1000 keys, want 200 to 300", m, keysOwned[m])
 		}
 	}
 }
