--- a/internal/core/controlhosts/choice.go
+++ b/internal/core/controlhosts/choice.go
@@ -8,28 +8,31 @@
 	"github.com/sesamefork/sesamefork/internal/core/rendezvous"
 )
 
-// Candidate is a control host that an entry host may present itself to.
+// Candidate is a control host with which an entry host may synchronize.
 type Candidate struct {
 	Address string
-	Domain  string // its failure domain; "" while it is not known
-	// Named is set when the control hosts name it as one that they hear.
+	Domain  string // failure domain; "" if unknown
+	// Named reports whether the control hosts list it as one that they receive messages from.
 	Named bool
-	// AvoidUntil is until when others of its failure domain go first; see Avoid.
+	// AvoidUntil is the time until which other candidates of its failure domain are
+	// preferred; see Avoid.
 	AvoidUntil time.Time
 }
 
-// Avoid is for how long a control host that did not answer, or is out of date, stands behind
-// the others of its failure domain: long enough for these to stop naming it if it is lost.
+// Avoid is how long the other control hosts of a failure domain are preferred to one that
+// did not answer or is out of date. It is long enough for them to stop listing that one as
+// live if it is lost.
 const Avoid = 2 * time.Second
 
-// Choose returns the control hosts by which an entry host goes, one in each failure domain,
-// and all whose failure domain is not known yet. Which one it is differs from host to host,
-// so that those of a failure domain share its entry hosts: the cost of a control host and the
-// messages of an entry host do not grow with the number of control hosts. The choice moves
-// only when the chosen one is avoided, is not named any more, or comes back.
+// Choose returns the candidates with which an entry host synchronizes, sorted by address: one
+// of each failure domain, and all whose failure domain is unknown. The choice within a failure
+// domain is by rendezvous hashing of the entry host's ID, so its control hosts share the entry
+// hosts evenly: the load of a control host and the messages of an entry host do not grow with
+// the number of control hosts. The choice changes only when the chosen control host is
+// avoided, is no longer named, or becomes available again.
 func Choose(host string, list []Candidate, now time.Time) []Candidate {
 	var out []Candidate
-	byDomain := map[string]int{} // to the place in out
+	byDomain := map[string]int{} // index in out
 	for _, c := range list {
 		i, ok := byDomain[c.Domain]
 		switch {
@@ -38,7 +41,7 @@
 		case !ok:
 			byDomain[c.Domain] = len(out)
 			out = append(out, c)
-		case goesBefore(host, c, out[i], now):
+		case preferred(host, c, out[i], now):
 			out[i] = c
 		}
 	}
@@ -46,7 +49,8 @@
 	return out
 }
 
-func goesBefore(host string, a, b Candidate, now time.Time) bool {
+// preferred reports whether the entry host chooses a over b, of the same failure domain.
+func preferred(host string, a, b Candidate, now time.Time) bool {
 	if x, y := now.Before(a.AvoidUntil), now.Before(b.AvoidUntil); x != y {
 		return y
 	}
--- a/internal/core/controlhosts/choice_test.go
+++ b/internal/core/controlhosts/choice_test.go
@@ -8,8 +8,8 @@
 
 var noon = time.Unix(1000, 0)
 
-// domainOf returns n control hosts of a failure domain, all named.
-func domainOf(domain string, n int) []Candidate {
+// liveCandidates returns n candidates of a failure domain, all named and none avoided.
+func liveCandidates(domain string, n int) []Candidate {
 	var out []Candidate
 	for i := range n {
 		out = append(out, Candidate{Address: fmt.Sprintf("%s.%d", domain, i), Domain: domain, Named: true})
@@ -21,13 +21,13 @@
 	t.Helper()
 	got := Choose(host, list, noon)
 	if len(got) != 1 {
-		t.Fatalf("%d chosen of one failure domain", len(got))
+		t.Fatalf("%d control hosts chosen in one failure domain, want 1", len(got))
 	}
 	return got[0].Address
 }
 
 func TestChooseOnePerFailureDomain(t *testing.T) {
-	list := append(domainOf("a", 4), domainOf("b", 4)...)
+	list := append(liveCandidates("a", 4), liveCandidates("b", 4)...)
 	list = append(list, Candidate{Address: "x"}, Candidate{Address: "y"})
 	domains := map[string]int{}
 	for _, c := range Choose("h", list, noon) {
@@ -38,9 +38,10 @@
 	}
 }
 
-// TestChoiceMoves changes what is known of the chosen one and of the others.
+// TestChoiceMoves checks which changes of the candidates' state move the choice to another
+// control host of the failure domain.
 func TestChoiceMoves(t *testing.T) {
-	list := domainOf("a", 4)
+	list := liveCandidates("a", 4)
 	first := chosen(t, "h", list)
 	edit := func(f func(c *Candidate)) []Candidate {
 		out := append([]Candidate(nil), list...)
@@ -56,20 +57,20 @@
 		stays bool
 	}{
 		{"nothing changes", list, true},
-		{"it does not answer", edit(func(c *Candidate) {
+		{"the chosen one did not answer", edit(func(c *Candidate) {
 			if c.Address == first {
 				c.AvoidUntil = avoided
 			}
 		}), false},
-		{"it did not answer long ago", edit(func(c *Candidate) {
+		{"the avoidance of the chosen one has expired", edit(func(c *Candidate) {
 			if c.Address == first {
 				c.AvoidUntil = noon
 			}
 		}), true},
-		{"none answers", edit(func(c *Candidate) { c.AvoidUntil = avoided }), true},
-		{"it is not named any more", edit(func(c *Candidate) { c.Named = c.Address != first }), false},
+		{"all are avoided", edit(func(c *Candidate) { c.AvoidUntil = avoided }), true},
+		{"the chosen one is no longer named", edit(func(c *Candidate) { c.Named = c.Address != first }), false},
 		{"none is named", edit(func(c *Candidate) { c.Named = false }), true},
-		{"another is lost", edit(func(c *Candidate) {
+		{"all others are avoided and not named", edit(func(c *Candidate) {
 			if c.Address != first {
 				c.Named, c.AvoidUntil = false, avoided
 			}
@@ -78,21 +79,22 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := chosen(t, "h", c.list); (got == first) != c.stays {
-				t.Errorf("chosen %s, before %s", got, first)
+				t.Errorf("chose %s, first choice was %s", got, first)
 			}
 		})
 	}
 }
 
-// TestControlHostsShareTheEntryHosts counts the presentations to each of 24 control hosts by
-// 986 entry hosts that know all of them: as many as with one in each failure domain, shared
-// evenly. Each entry host once presented itself to all.
+// TestControlHostsShareTheEntryHosts lets 986 entry hosts choose among 24 control hosts in six
+// failure domains. Each entry host must choose one per failure domain, and the control hosts
+// of a failure domain must share the entry hosts evenly. Guards against each entry host
+// synchronizing with all control hosts.
 func TestControlHostsShareTheEntryHosts(t *testing.T) {
 	const hosts, perDomain = 986, 4
 	var list []Candidate
 	domains := []string{"a", "b", "c", "d", "e", "f"}
 	for _, d := range domains {
-		list = append(list, domainOf(d, perDomain)...)
+		list = append(list, liveCandidates(d, perDomain)...)
 	}
 	held, all := map[string]int{}, 0
 	for i := range hosts {
@@ -102,11 +104,11 @@
 		}
 	}
 	if all != hosts*len(domains) {
-		t.Errorf("%d chosen, want %d", all, hosts*len(domains))
+		t.Errorf("%d choices in total, want %d", all, hosts*len(domains))
 	}
 	for addr, n := range held {
 		if n > hosts/perDomain*5/4 {
-			t.Errorf("%s is chosen by %d of %d hosts", addr, n, hosts)
+			t.Errorf("%s is chosen by %d of %d entry hosts", addr, n, hosts)
 		}
 	}
 }
--- a/internal/core/controlhosts/controlhosts.go
+++ b/internal/core/controlhosts/controlhosts.go
@@ -1,15 +1,15 @@
-// Package controlhosts decides by which control hosts an entry host goes. Each presents
-// itself to the nearest ones and learns there who is there, what is evacuated, and of which
-// configuration there is. It does no I/O and reads no clock.
+// Package controlhosts decides with which control hosts an entry host synchronizes. An entry
+// host sends sync requests to the nearest control hosts; the answers list the live hosts, the
+// evacuations and the configuration version. The package does no I/O and reads no clock.
 //
-// Invariant: an answer counts as a sign that a control host is there; only one from a host
-// that is up to date with its group counts as the group's word. While none of the nearer
-// control hosts gives that, farther ones are asked as well.
+// Invariant: any answer shows that a control host is reachable, but only an answer from a
+// control host that is up to date with its consensus group is authoritative. While no nearer
+// control host gives an authoritative answer, farther ones are queried as well.
 package controlhosts
 
 import "time"
 
-// Distance says how far away a control host is.
+// Distance is how far a control host is from the entry host.
 type Distance int
 
 // Distances.
@@ -20,37 +20,40 @@
 	distances
 )
 
-// Times after which others are asked.
+// Durations that decide when other control hosts are queried.
 const (
 	// MaxStaleness is how old a control host's configuration and evacuations may be before
-	// others have to be heard as well. Less would make every election a reason to ask: a new
-	// leader's first commit comes an election timeout and three round trips between regions
-	// after the last word of one that was lost. More would leave too little of the time in
-	// which an accepted change has to be in force for asking a farther control host.
+	// other control hosts are queried as well. A lower limit would cause extra queries after
+	// every election: the first commit of a new leader comes an election timeout and three
+	// inter-region round trips after the last message of the lost leader. A higher limit would
+	// leave too little time to query a farther control host before the deadline by which an
+	// accepted change must be in force.
 	MaxStaleness = 2 * time.Second
-	// Lost is how long control hosts may be silent before farther ones are asked: six
-	// presentations, or a connection that is opened anew.
+	// Lost is how long control hosts may leave requests unanswered before farther ones are
+	// queried. It allows for six sync requests, or for reopening a connection.
 	Lost = 1500 * time.Millisecond
-	// unsureAfter is how long a host that starts waits for a configuration from the nearest
-	// control host before it asks others of its region too: when all hosts start at once,
-	// each would send the same to twice as many.
-	unsureAfter = 800 * time.Millisecond
-	// startPatience is how long a host that starts passes over the configuration of a control
-	// host that is out of date: two tries to reach one of another region.
-	startPatience = 1500 * time.Millisecond
-	// retryStale is the pause between presentations to a farther control host that is itself
-	// out of date. While the group has no majority all are, and each would otherwise be asked
-	// by every entry host four times a second. With the time that an answer takes it stays
-	// below the lease of an entry host, 1.5 s.
-	retryStale = 600 * time.Millisecond
+	// regionQueryDelay is how long a starting entry host waits for a configuration from its
+	// own failure domain before it also queries other control hosts of its region. Without
+	// the delay, a simultaneous start of all hosts would double the number of control hosts
+	// that receive each request.
+	regionQueryDelay = 800 * time.Millisecond
+	// staleConfigWait is how long a starting entry host rejects the configuration of a control
+	// host that is out of date. It allows for two attempts to reach one in another region.
+	staleConfigWait = 1500 * time.Millisecond
+	// staleRetryInterval is the pause between sync requests to a control host other than the
+	// primary that is itself out of date. While the consensus group has no majority, all
+	// control hosts are out of date, and each would otherwise receive four requests per second
+	// from every entry host. The pause plus the time for an answer stays below the lease of an
+	// entry host, 1.5 s.
+	staleRetryInterval = 600 * time.Millisecond
 )
 
-// Heard is what an entry host heard of the control hosts at each distance. The zero value
-// has heard none. It is not safe for concurrent use.
+// Heard records the answers that an entry host has received from the control hosts at each
+// distance. The zero value holds no answers. It is not safe for concurrent use.
 type Heard struct {
-	at   [distances]time.Time // last answer
-	asOf [distances]time.Time // newest moment as of which one of them was up to date
-	// primary owns the host's figures.
+	lastAnswer  [distances]time.Time // last answer
+	currentAsOf [distances]time.Time // latest time as of which one of them was up to date
+	// primary receives the entry host's load report; see Primary.
 	primary struct {
 		address  string
 		distance Distance
@@ -58,47 +61,51 @@
 	}
 }
 
-// Note takes an answer from a control host whose state is so old.
+// Note records an answer from the control host at an address, whose state is out of date by
+// the given staleness at most.
 func (h *Heard) Note(address string, d Distance, staleness time.Duration, now time.Time) {
-	h.at[d] = now
+	h.lastAnswer[d] = now
 	if address == h.primary.address {
 		h.primary.at = now
 	}
-	if asOf := now.Add(-staleness); asOf.After(h.asOf[d]) {
-		h.asOf[d] = asOf
+	if asOf := now.Add(-staleness); asOf.After(h.currentAsOf[d]) {
+		h.currentAsOf[d] = asOf
 	}
 }
 
-// Asks reports whether control hosts at a distance are to be asked now. Those of the own
-// failure domain always are: only they hear its backend servers while it is cut off. configured
-// says whether the entry host has a configuration, age for how long it has run: without one,
-// control hosts of its region soon count as equally near, as the one of its failure
+// Asks reports whether control hosts at a distance are to be queried now. Those of the same
+// failure domain always are: during a network partition of the failure domain, only they
+// receive its backend servers' announcements. configured reports whether the entry host has
+// a configuration, and age is the time since it started. Without a configuration, the control
+// hosts of its region are queried too after regionQueryDelay, because the one of its failure
 // domain may have lost its disk.
 func (h *Heard) Asks(d Distance, configured bool, age time.Duration, now time.Time) bool {
-	if d == SameRegion && !configured && age > unsureAfter {
+	if d == SameRegion && !configured && age > regionQueryDelay {
 		return true
 	}
 	for near := range d {
-		if h.lately(near, now) && h.upToDate(near, now) {
+		if h.inContact(near, now) && h.upToDate(near, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// Calm reports whether a control host of the own failure domain has answered within half of
-// the silence after which farther ones are asked, and is up to date.
+// Calm reports whether control hosts of the same failure domain have answered within Lost/2
+// and been up to date within MaxStaleness/2, so that farther ones need not be queried soon.
 func (h *Heard) Calm(now time.Time) bool {
-	return now.Sub(h.at[SameDomain]) < Lost/2 && now.Sub(h.asOf[SameDomain]) <= MaxStaleness/2
+	return now.Sub(h.lastAnswer[SameDomain]) < Lost/2 && now.Sub(h.currentAsOf[SameDomain]) <= MaxStaleness/2
 }
 
-// Primary reports whether a control host owns the entry host's figures: the one that is told
-// of the work under way, and tells it to the others. It is one of the nearest that are heard,
-// up to date or not, and stays it while it is heard: figures that are told to two control
-// hosts would be counted twice by all others.
+// Primary reports whether a control host is the entry host's primary. It makes it the primary
+// if no nearer control host answers and the present primary is at another distance or has not
+// answered within Lost. The primary alone receives the entry host's report of requests in
+// flight and forwards it to the other control hosts, which would count a report sent to two
+// control hosts twice. It is one of the nearest control hosts that answer, up to date or not,
+// and stays primary while it answers and no nearer one does.
 func (h *Heard) Primary(address string, d Distance, now time.Time) bool {
 	for near := range d {
-		if h.lately(near, now) {
+		if h.inContact(near, now) {
 			return false
 		}
 	}
@@ -113,8 +120,9 @@
 	return true
 }
 
-// KnowsFleet reports whether what a control host whose state is so old tells of entry hosts
-// and other regions counts: one that is out of date may be cut off from the others.
+// KnowsFleet reports whether the entry host uses a control host's view of entry hosts and other
+// regions, given the staleness of its state. A control host that is out of date may be
+// partitioned from the others, so its view is used only while none is up to date.
 func (h *Heard) KnowsFleet(staleness time.Duration, now time.Time) bool {
 	if staleness <= MaxStaleness {
 		return true
@@ -127,24 +135,29 @@
 	return true
 }
 
-func (h *Heard) lately(d Distance, now time.Time) bool { return now.Sub(h.at[d]) < Lost }
+// inContact reports whether a control host at a distance answered within Lost.
+func (h *Heard) inContact(d Distance, now time.Time) bool { return now.Sub(h.lastAnswer[d]) < Lost }
 
-func (h *Heard) upToDate(d Distance, now time.Time) bool { return now.Sub(h.asOf[d]) <= MaxStaleness }
+// upToDate reports whether a control host at a distance was up to date within MaxStaleness.
+func (h *Heard) upToDate(d Distance, now time.Time) bool {
+	return now.Sub(h.currentAsOf[d]) <= MaxStaleness
+}
 
-// Takes reports whether an entry host takes the configuration of a control host whose state
-// is so old; what it has already it never gives up for an older one. A host that has just
-// started waits for one that is up to date: before its start it may have served by a newer
-// configuration. If none is in reach it goes by what there is.
+// Takes reports whether an entry host accepts the configuration of a control host, given the
+// staleness of the control host's state. An entry host that has a configuration accepts any,
+// because it never replaces its configuration by an older one. An entry host without one first
+// waits for a control host that is up to date, because it may have served with a newer
+// configuration before its restart. After staleConfigWait it accepts any configuration.
 func Takes(staleness time.Duration, configured bool, age time.Duration) bool {
-	return configured || staleness <= MaxStaleness || age > startPatience
+	return configured || staleness <= MaxStaleness || age > staleConfigWait
 }
 
-// Pause returns how long to wait before a control host that has just answered is asked
-// again. Answers are held until something changes or a wait is over, so that mostly no
-// pause is needed.
+// Pause returns how long to wait before the next sync request to a control host that has just
+// answered. It is mostly 0, because a control host holds its answer until something changes or
+// its maximum hold time is over (long polling).
 func Pause(primary bool, staleness time.Duration) time.Duration {
 	if !primary && staleness > MaxStaleness {
-		return retryStale
+		return staleRetryInterval
 	}
 	return 0
 }
--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -23,8 +23,8 @@
 	Older
 )
 
-// maxReplacedStarts bounds the replaced starts that are remembered: a server that restarts every
-// few seconds replaces this many within the time for which an announcement can be held up.
+// maxReplacedStarts bounds the replaced starts in a History: a server that restarts every
+// few seconds replaces this many within the longest delay of an announcement.
 const maxReplacedStarts = 64
 
 // History holds the current start of a server and the starts that it replaced.
@@ -36,7 +36,8 @@
 // Compare returns how a reported start relates to the current one. currentExpired reports
 // that the announcements of the current start have expired. Only then does a lower start
 // that was never recorded count as newer, because the server's clock may have been set
-// back. A start of 0 (not reported) counts as the current one.
+// back. A start of 0 (not reported) counts as the current one, and so does any
+// start while none is recorded.
 func (h *History) Compare(start int64, currentExpired bool) Order {
 	switch {
 	case start == h.Current, start == 0, h.Current == 0:
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,9 +1,10 @@
-// Package membership tells which hosts of a failure domain are alive. Hosts
+// Package membership detects which hosts of a failure domain are alive. Hosts
 // probe each other in random order; a host that answers neither a direct probe
-// nor probes through others is suspected, and declared dead unless it refutes
-// the suspicion with a higher incarnation number in time (Das, Gupta and
-// Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-// Membership Protocol", DSN 2002). The package does no I/O and reads no clock.
+// nor indirect probes through other hosts is suspected. It is declared dead
+// unless it refutes the suspicion with a higher incarnation number within
+// SuspectTimeout (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent
+// Infection-style Process Group Membership Protocol", DSN 2002). The package
+// does no I/O and reads no clock.
 package membership
 
 import (
@@ -14,7 +15,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// State is what is held of a member.
+// State is the state recorded for a member.
 type State uint32
 
 // States. In one incarnation a later state overrides an earlier one.
@@ -30,19 +31,19 @@
 // Options configures a List.
 type Options struct {
 	ID             string
-	SuspectTimeout time.Duration // from suspicion to death
-	Retransmit     int           // times an update is passed on (default 6)
+	SuspectTimeout time.Duration // time a suspect has to refute before it is declared dead
+	Retransmit     int           // number of messages that carry an update (default 6)
 	Seed           int64
 }
 
-// Member is one host as this host sees it.
+// Member is the state that this host has recorded for another host.
 type Member struct {
 	ID          string
 	State       State
 	Incarnation uint64
 	Draining    bool
-	Since       time.Time // of the present state
-	Heard       bool      // answered at least once
+	Since       time.Time // time of the last change of State or Incarnation
+	Heard       bool      // has acknowledged at least one probe
 }
 
 // Event reports a change of a member's state.
@@ -51,7 +52,7 @@
 	State State
 }
 
-// List is one host's view. It is not safe for concurrent use.
+// List is one host's view of the other hosts. It is not safe for concurrent use.
 type List struct {
 	o           Options
 	rnd         *rand.Rand
@@ -59,11 +60,11 @@
 	members     map[string]*Member
 	order       []string
 	next        int
-	updates     map[string]int // pending retransmissions
+	updates     map[string]int // remaining retransmissions by host ID
 	events      []Event
 }
 
-// New returns a view in which no other host was heard of.
+// New returns a view without other hosts. incarnation is this host's incarnation number.
 func New(o Options, incarnation uint64) *List {
 	if o.Retransmit == 0 {
 		o.Retransmit = 6
@@ -74,7 +75,7 @@
 	}
 }
 
-// SetHosts fixes the hosts that are watched. New ones start as alive but not heard.
+// SetHosts sets the hosts to probe. New ones start as Alive with Heard false.
 func (l *List) SetHosts(ids []string, now time.Time) {
 	keep := map[string]bool{}
 	for _, id := range ids {
@@ -98,12 +99,12 @@
 // Incarnation returns this host's incarnation number.
 func (l *List) Incarnation() uint64 { return l.incarnation }
 
-// maxSuspectProbes bounds the suspects probed in one interval.
+// maxSuspectProbes is the maximum number of suspects probed again in one interval.
 const maxSuspectProbes = 3
 
 // Targets returns the hosts to probe in this interval: the next of the round,
-// and every suspect again, which thereby learns of the suspicion and can refute
-// it in time.
+// and up to maxSuspectProbes suspects. The probe of a suspect carries the
+// suspicion, so that the suspect can refute it before it is declared dead.
 func (l *List) Targets() []string {
 	var out []string
 	if next := l.nextTarget(); next != "" {
@@ -117,8 +118,9 @@
 	return out
 }
 
-// nextTarget returns the next host of the round, "" when there is none. Every
-// host is probed once in each round, dead ones too, so that a healed cut is found.
+// nextTarget returns the next host of the round, or "" if there are no other
+// hosts. Every host is probed once per round, dead ones too, so that the end of a
+// network partition is detected.
 func (l *List) nextTarget() string {
 	if l.next >= len(l.order) {
 		l.order = l.order[:0]
@@ -137,7 +139,8 @@
 	return id
 }
 
-// Helpers returns up to n live hosts other than target for indirect probes.
+// Helpers returns up to n random live hosts other than target that can send it
+// indirect probes.
 func (l *List) Helpers(target string, n int) []string {
 	var ids []string
 	for id, m := range l.members {
@@ -150,8 +153,9 @@
 	return ids[:min(n, len(ids))]
 }
 
-// Acked records that the host answered with its incarnation. A host that was
-// declared dead in this incarnation stays dead until it refutes with a higher one.
+// Acked records that a host acknowledged a probe, or sent one, with its current
+// incarnation number. A host that was declared dead in this incarnation stays
+// dead until it refutes with a higher one.
 func (l *List) Acked(id string, incarnation uint64, draining bool, now time.Time) {
 	m := l.members[id]
 	if m == nil {
@@ -169,14 +173,14 @@
 	}
 }
 
-// Failed records that neither the host nor its helpers' probes answered.
+// Failed records that a host answered neither the direct nor the indirect probes.
 func (l *List) Failed(id string, now time.Time) {
 	if m := l.members[id]; m != nil && m.State == Alive {
 		l.change(m, Suspect, now)
 	}
 }
 
-// Tick declares suspects dead whose time to refute is over.
+// Tick declares dead the suspects that did not refute within SuspectTimeout.
 func (l *List) Tick(now time.Time) {
 	for _, m := range l.members {
 		if m.State == Suspect && now.Sub(m.Since) >= l.o.SuspectTimeout {
@@ -185,6 +189,7 @@
 	}
 }
 
+// change sets a member's state and queues the update for dissemination.
 func (l *List) change(m *Member, s State, now time.Time) {
 	if m.State != s {
 		l.events = append(l.events, Event{m.ID, s})
@@ -193,9 +198,10 @@
 	l.updates[m.ID] = l.o.Retransmit
 }
 
-// Merge takes updates that other hosts passed on. An update about this host
-// that says suspect or dead is refuted with a higher incarnation; refuted is
-// then true: the host was held dead and learns it here.
+// Merge applies updates received from another host. If an update marks this host
+// as suspect or dead in its current incarnation or a later one, Merge refutes it
+// with a higher incarnation number and returns true: other hosts had recorded
+// this host as failed.
 func (l *List) Merge(updates []*pb.MemberUpdate, now time.Time) (refuted bool) {
 	for _, u := range updates {
 		if u.Host == l.o.ID {
@@ -225,11 +231,12 @@
 	l.change(m, s, now)
 }
 
-// maxUpdates bounds the updates on one message.
+// maxUpdates is the maximum number of queued updates in one message.
 const maxUpdates = 16
 
-// Updates returns what to pass on with the next message. The message's
-// receiver is told how it is held when that isn't alive.
+// Updates returns the updates to piggyback on the next message to receiver, those
+// with the most retransmissions left first. If receiver is recorded as suspect or
+// dead, the first update says so, which lets receiver refute it.
 func (l *List) Updates(receiver string) []*pb.MemberUpdate {
 	var out []*pb.MemberUpdate
 	if m := l.members[receiver]; m != nil && m.State != Alive {
@@ -256,7 +263,7 @@
 	return out
 }
 
-// Events returns the changes since the last call.
+// Events returns the state changes since the last call.
 func (l *List) Events() []Event {
 	e := l.events
 	l.events = nil
@@ -271,7 +278,7 @@
 	return Member{}, false
 }
 
-// Live returns the hosts not held dead, sorted; this host is not among them.
+// Live returns the IDs of the other hosts that are not recorded as dead, sorted.
 func (l *List) Live() []string {
 	var ids []string
 	for id, m := range l.members {
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -9,7 +9,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// group is n hosts that probe each other under virtual time.
+// group simulates hosts that probe each other in virtual time.
 type group struct {
 	rnd   *rand.Rand
 	now   time.Time
@@ -45,8 +45,9 @@
 	return !g.down[a] && !g.down[b] && !g.cut[[2]string{a, b}] && g.rnd.Float64() >= g.loss
 }
 
-// ask is a probe and its answer.
-func (g *group) ask(a, b string) bool {
+// exchange sends a probe from a to b and its acknowledgement back. It reports whether both
+// arrived.
+func (g *group) exchange(a, b string) bool {
 	if !g.reaches(a, b) {
 		return false
 	}
@@ -75,13 +76,13 @@
 	}
 }
 
-// probe is a direct probe, and indirect ones when it fails.
+// probe sends a direct probe, and indirect ones if it fails.
 func (g *group) probe(id, target string) {
 	l := g.lists[id]
-	ok := g.ask(id, target)
+	ok := g.exchange(id, target)
 	if !ok {
 		for _, h := range l.Helpers(target, 2) {
-			ok = g.reaches(id, h) && g.ask(h, target) && g.reaches(h, id) || ok
+			ok = g.reaches(id, h) && g.exchange(h, target) && g.reaches(h, id) || ok
 		}
 	}
 	if !ok {
@@ -89,8 +90,8 @@
 	}
 }
 
-// heldDead counts the live hosts that hold id dead.
-func (g *group) heldDead(id string) int {
+// countMarkedDead counts the live hosts that have recorded id as dead.
+func (g *group) countMarkedDead(id string) int {
 	n := 0
 	for _, other := range g.ids {
 		if m, ok := g.lists[other].Get(id); ok && !g.down[other] && m.State == Dead {
@@ -107,26 +108,26 @@
 	}
 	g.down["h03"] = true
 	rounds := 0
-	for ; g.heldDead("h03") < 13; rounds++ {
+	for ; g.countMarkedDead("h03") < 13; rounds++ {
 		if rounds > 30 {
-			t.Fatalf("after %d rounds only %d hosts know", rounds, g.heldDead("h03"))
+			t.Fatalf("after %d rounds only %d of 13 hosts have recorded the host as dead", rounds, g.countMarkedDead("h03"))
 		}
 		g.round()
 	}
-	t.Logf("held dead by all after %d probe intervals", rounds)
+	t.Logf("recorded as dead by all hosts after %d probe intervals", rounds)
 	delete(g.down, "h03")
 	g.boot("h03", 1000)
-	for rounds = 0; g.heldDead("h03") > 0; rounds++ {
+	for rounds = 0; g.countMarkedDead("h03") > 0; rounds++ {
 		if rounds > 15 {
-			t.Fatalf("still dead for %d hosts", g.heldDead("h03"))
+			t.Fatalf("%d hosts still record the restarted host as dead", g.countMarkedDead("h03"))
 		}
 		g.round()
 	}
-	t.Logf("alive for all after %d probe intervals", rounds)
+	t.Logf("recorded as alive by all hosts after %d probe intervals", rounds)
 }
 
-// TestThawedHostLearnsThatItWasHeldDead freezes a host: its first exchange
-// after the thaw refutes.
+// TestThawedHostLearnsThatItWasHeldDead suspends a host until it is declared
+// dead. Its first exchange after it resumes must refute with a higher incarnation.
 func TestThawedHostLearnsThatItWasHeldDead(t *testing.T) {
 	g := newGroup(5)
 	for range 10 {
@@ -138,19 +139,20 @@
 	}
 	before := g.lists["h00"].Incarnation()
 	delete(g.down, "h00")
-	if !g.ask("h00", "h01") {
-		t.Fatal("not reached")
+	if !g.exchange("h00", "h01") {
+		t.Fatal("the probe or its acknowledgement was lost")
 	}
 	if g.lists["h00"].Incarnation() <= before {
-		t.Error("the host did not refute")
+		t.Error("the resumed host did not raise its incarnation number")
 	}
-	g.ask("h00", "h01")
+	g.exchange("h00", "h01")
 	if m, _ := g.lists["h01"].Get("h00"); m.State != Alive {
-		t.Errorf("held %s after the refutation", m.State)
+		t.Errorf("recorded as %s after the refutation, want alive", m.State)
 	}
 }
 
-// TestLossAloneKillsNobody drops one message in twenty for a long time.
+// TestLossAloneKillsNobody loses 5% of the messages during 2,000 probe intervals: no host may
+// be declared dead.
 func TestLossAloneKillsNobody(t *testing.T) {
 	g := newGroup(14)
 	g.loss = 0.05
@@ -166,19 +168,19 @@
 		}
 	}
 	if deaths > 0 {
-		t.Errorf("%d false deaths in 2,000 probe intervals with 5%% loss", deaths)
+		t.Errorf("%d hosts falsely declared dead in 2,000 probe intervals with 5%% loss", deaths)
 	}
 }
 
-// TestOneBrokenLinkKillsNobody cuts the link between two hosts; the others
-// reach both.
+// TestOneBrokenLinkKillsNobody cuts the link between two hosts. Neither may be
+// declared dead, because the other hosts reach both with indirect probes.
 func TestOneBrokenLinkKillsNobody(t *testing.T) {
 	g := newGroup(5)
 	g.cut[[2]string{"h00", "h01"}], g.cut[[2]string{"h01", "h00"}] = true, true
 	for range 100 {
 		g.round()
-		if g.heldDead("h00")+g.heldDead("h01") > 0 {
-			t.Fatal("a host was declared dead over one broken link")
+		if g.countMarkedDead("h00")+g.countMarkedDead("h01") > 0 {
+			t.Fatal("a host was declared dead because of one broken link")
 		}
 	}
 }
@@ -190,10 +192,10 @@
 		u    *pb.MemberUpdate
 		want State
 	}{
-		{"suspicion of the same incarnation", Member{Incarnation: 3}, &pb.MemberUpdate{Incarnation: 3, State: uint32(Suspect)}, Suspect},
-		{"old suspicion", Member{Incarnation: 3}, &pb.MemberUpdate{Incarnation: 2, State: uint32(Suspect)}, Alive},
-		{"alive does not undo dead", Member{Incarnation: 3, State: Dead}, &pb.MemberUpdate{Incarnation: 3}, Dead},
-		{"a higher incarnation does", Member{Incarnation: 3, State: Dead}, &pb.MemberUpdate{Incarnation: 4}, Alive},
+		{"suspicion in the same incarnation", Member{Incarnation: 3}, &pb.MemberUpdate{Incarnation: 3, State: uint32(Suspect)}, Suspect},
+		{"suspicion in an earlier incarnation", Member{Incarnation: 3}, &pb.MemberUpdate{Incarnation: 2, State: uint32(Suspect)}, Alive},
+		{"alive does not override dead in the same incarnation", Member{Incarnation: 3, State: Dead}, &pb.MemberUpdate{Incarnation: 3}, Dead},
+		{"alive in a higher incarnation overrides dead", Member{Incarnation: 3, State: Dead}, &pb.MemberUpdate{Incarnation: 4}, Alive},
 		{"unknown state", Member{Incarnation: 3}, &pb.MemberUpdate{Incarnation: 9, State: 77}, Alive},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -205,7 +207,7 @@
 			c.u.Host = "x"
 			l.Merge([]*pb.MemberUpdate{c.u}, time.Time{})
 			if got := l.members["x"].State; got != c.want {
-				t.Errorf("%s, want %s", got, c.want)
+				t.Errorf("state %s, want %s", got, c.want)
 			}
 		})
 	}
