--- a/internal/core/consensus/consensus_test.go
+++ b/internal/core/consensus/consensus_test.go
@@ -21,15 +21,15 @@
 	return n
 }
 
-func play(n, count int, b breakage) (first string, bad, accepted int) {
-	return playLeases(n, count, b, false)
+func runSchedules(n, count int, b disabledMechanisms) (first string, bad, accepted int) {
+	return runSchedulesLeases(n, count, b, false)
 }
 
-func playLeases(n, count int, b breakage, noLeases bool) (first string, bad, accepted int) {
+func runSchedulesLeases(n, count int, b disabledMechanisms, noLeases bool) (first string, bad, accepted int) {
 	for seed := range int64(count) {
-		w := newWorldLeases(seed, n, b, noLeases)
+		w := newSimulationLeases(seed, n, b, noLeases)
 		w.run(4000, int(seed%3))
-		accepted += w.answered()
+		accepted += w.acceptedChanges()
 		if v := w.violation(); v != "" {
 			bad++
 			if first == "" {
@@ -48,7 +48,7 @@
 	for _, noLeases := range []bool{false, true} {
 		for _, n := range []int{3, 5} {
 			count := schedules(150)
-			first, bad, accepted := playLeases(n, count, breakage{}, noLeases)
+			first, bad, accepted := runSchedulesLeases(n, count, disabledMechanisms{}, noLeases)
 			t.Logf("%d replicas, no leases %v: %d schedules, %d changes accepted, %d broken", n, noLeases, count, accepted, bad)
 			if bad > 0 {
 				t.Errorf("%d replicas: %d of %d schedules broken; first: %s", n, bad, count, first)
@@ -64,15 +64,15 @@
 // schedules must then break a promise.
 func TestChecksSeeBrokenMechanisms(t *testing.T) {
 	for name, c := range map[string]struct {
-		broken breakage
+		broken disabledMechanisms
 		count  int
 	}{
-		"sync":     {breakage{sync: true}, 30},
-		"identity": {breakage{identity: true}, 100},
-		"reads":    {breakage{reads: true}, 1200},
+		"sync":     {disabledMechanisms{sync: true}, 30},
+		"identity": {disabledMechanisms{identity: true}, 100},
+		"reads":    {disabledMechanisms{reads: true}, 1200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			first, bad, _ := play(3, c.count, c.broken)
+			first, bad, _ := runSchedules(3, c.count, c.broken)
 			t.Logf("%d of %d schedules broken; first: %s", bad, c.count, first)
 			if bad == 0 {
 				t.Error("no schedule broke a promise without the mechanism")
@@ -82,10 +82,10 @@
 }
 
 // group returns n replicas without faults in the way.
-func group(n int) *world { return newWorld(1, n, breakage{}) }
+func group(n int) *simulation { return newSimulation(1, n, disabledMechanisms{}) }
 
-// settle delivers all messages in order until none is left.
-func (w *world) settle() {
+// deliverAll delivers all messages in order until none is left.
+func (w *simulation) deliverAll() {
 	for len(w.net) > 0 {
 		m := w.net[0]
 		w.net = w.net[1:]
@@ -97,29 +97,29 @@
 }
 
 // elect lets the replica campaign and win.
-func (w *world) elect(id string) *server {
+func (w *simulation) elect(id string) *server {
 	s := w.servers[id]
 	s.node.campaign(PreCandidate)
 	w.process(s, false)
-	w.settle()
+	w.deliverAll()
 	return s
 }
 
-func (w *world) tickAll(n int) {
+func (w *simulation) tickAll(n int) {
 	for range n {
 		for _, id := range w.order {
 			w.servers[id].node.Tick()
 			w.process(w.servers[id], false)
 		}
-		w.settle()
+		w.deliverAll()
 	}
 }
 
 // TestVoteSurvivesRestart elects a leader with one vote beside its own, restarts
 // the voter, and lets the third replica ask it for the same term's vote.
 func TestVoteSurvivesRestart(t *testing.T) {
-	leaders := func(b breakage) int {
-		w := newWorld(1, 3, b)
+	leaders := func(b disabledMechanisms) int {
+		w := newSimulation(1, 3, b)
 		w.cut = map[string]int{"s2": 1}
 		w.servers["s0"].node.campaign(Candidate)
 		w.process(w.servers["s0"], false)
@@ -138,13 +138,13 @@
 		w.cut = map[string]int{"s0": 1}
 		w.servers["s2"].node.campaign(Candidate) // of term 1: it never heard of the leader
 		w.process(w.servers["s2"], false)
-		w.settle()
-		return len(w.faults)
+		w.deliverAll()
+		return len(w.violations)
 	}
-	if leaders(breakage{}) != 0 {
+	if leaders(disabledMechanisms{}) != 0 {
 		t.Error("two leaders in one term")
 	}
-	if leaders(breakage{vote: true}) == 0 {
+	if leaders(disabledMechanisms{vote: true}) == 0 {
 		t.Error("without the vote on disk the term must get two leaders")
 	}
 }
@@ -199,14 +199,14 @@
 	}
 	for _, c := range []struct {
 		name string
-		prep func(*world)
+		prep func(*simulation)
 		next *pb.RaftMembers
 		want failure.Code
 	}{
 		{"two voters at once", nil, members("s0"), failure.UnsafeMembership},
 		{"a voter that was no learner", nil, members("s0", "s1", "s2", "new"), failure.UnsafeMembership},
-		{"no majority caught up", func(w *world) { w.cut["s1"], w.cut["s2"] = 1, 1; w.servers["s0"].node.tick += 100 }, members("s0", "s1"), failure.UnsafeMembership},
-		{"another change under way", func(w *world) {
+		{"no majority caught up", func(w *simulation) { w.cut["s1"], w.cut["s2"] = 1, 1; w.servers["s0"].node.tick += 100 }, members("s0", "s1"), failure.UnsafeMembership},
+		{"another change under way", func(w *simulation) {
 			w.cut["s1"], w.cut["s2"] = 1, 1
 			next := proto.Clone(w.servers["s0"].node.members).(*pb.RaftMembers)
 			next.Members = append(next.Members, &pb.RaftMember{Id: "l", Learner: true})
@@ -246,9 +246,9 @@
 		{"a b c d", "a b c", 1},
 		{"a b c! d", "a b c!", 0},
 	} {
-		st := groupOf(strings.Fields(c.group)...)
+		st := statusOf(strings.Fields(c.group)...)
 		if c.committed != "" {
-			st.CommittedMembers = groupOf(strings.Fields(c.committed)...).Members
+			st.CommittedMembers = statusOf(strings.Fields(c.committed)...).Members
 		}
 		if got := SurvivableLosses(st); got != c.want {
 			t.Errorf("%q after %q: %d, want %d", c.group, c.committed, got, c.want)
--- a/internal/core/consensus/election.go
+++ b/internal/core/consensus/election.go
@@ -2,18 +2,20 @@
 
 import pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 
-// resetElection draws the time until the next campaign. Voters stand in turn, an
-// election timeout apart: when all restart at once and a vote takes several round
-// trips, timeouts that are only random let them split the vote again and again (3.8 s
-// without a leader between regions 80 ms apart, 1.4 s with turns; one run each). The
-// term moves the turns on, so that a voter that can't win doesn't hold up the rest.
+// resetElection restarts the election timer with a timeout that is staggered by
+// campaignRank, one election timeout per rank, plus a random part. With random timeouts
+// alone, a simultaneous restart of all voters led to repeated split votes where a vote takes
+// several round trips: 3.8 s without a leader between regions 80 ms apart, against 1.4 s with
+// ranks (one run each).
 func (n *Node) resetElection() {
 	n.electionElapsed = 0
-	n.electionTimeout = n.o.ElectionTicks*(1+n.turn()) + n.rnd.Intn(max(1, n.o.ElectionTicks/2))
+	n.electionTimeout = n.o.ElectionTicks*(1+n.campaignRank()) + n.rnd.Intn(max(1, n.o.ElectionTicks/2))
 }
 
-// turn is this replica's place among the voters in the present term.
-func (n *Node) turn() int {
+// campaignRank returns this replica's position in the order in which voters campaign in the
+// current term. The order rotates with the term, so that a voter that can't win does not
+// delay the others in every term.
+func (n *Node) campaignRank() int {
 	rank, voters := 0, 0
 	for _, m := range n.members.Members {
 		if m.Learner {
@@ -30,15 +32,18 @@
 	return (rank + int(n.term%uint64(voters))) % voters
 }
 
-// standAtOnce lets a replica that has just started stand as soon as it is its turn,
-// without the wait for a leader's heartbeat: the pre-vote finds out whether there is a
-// leader. After all replicas stopped, regions 80 ms apart, the group has a leader 0.5 s
-// sooner. The next in turn follows when the one before has had time for its pre-vote and
-// its votes: it may have lost its disk, or its log be too old to win.
-func (n *Node) standAtOnce() {
-	n.electionTimeout = n.o.ElectionTicks/2*n.turn() + 1
+// scheduleFirstCampaign shortens the first election timeout of a replica that has just
+// started, so that it does not wait for a leader's heartbeat: the pre-vote fails if there is
+// a leader. After a stop of all replicas, in regions 80 ms apart, the group elects a leader
+// 0.5 s sooner. Each further rank waits half an election timeout more, which gives the rank
+// before it time for its pre-vote and vote; that one may have lost its disk or have a log
+// that is too old to win.
+func (n *Node) scheduleFirstCampaign() {
+	n.electionTimeout = n.o.ElectionTicks/2*n.campaignRank() + 1
 }
 
+// becomeFollower makes the replica a follower of leader in term, or of no known leader if
+// leader is "". It fails the pending reads and resets the election timer.
 func (n *Node) becomeFollower(term uint64, leader string) {
 	if term > n.term {
 		n.term, n.vote = term, ""
@@ -48,9 +53,9 @@
 	n.resetElection()
 }
 
-// campaign starts a pre-vote (PreCandidate) or an election (Candidate). A
-// pre-vote changes neither term nor vote, so that a replica which was cut off
-// does not disturb the group when it returns.
+// campaign starts a pre-vote (role PreCandidate) or an election (role Candidate). A
+// pre-vote changes neither term nor vote, so that a replica that was partitioned
+// from the others does not disrupt the group when it reconnects.
 func (n *Node) campaign(role Role) {
 	n.resetElection()
 	n.role, n.leader = role, ""
@@ -62,7 +67,7 @@
 	n.countVotes()
 }
 
-// requestVotes asks the voters that have not answered the present campaign.
+// requestVotes sends a vote request to each voter that has not answered the current campaign.
 func (n *Node) requestVotes() {
 	term, kind := n.term, MsgVote
 	if n.role == PreCandidate {
@@ -79,14 +84,15 @@
 	}
 }
 
-// askAgain repeats the requests for votes as often as a leader sends heartbeats: the
-// other replicas may start a little later than this one, and messages get lost.
-func (n *Node) askAgain() {
+// resendVoteRequests repeats the vote requests at the heartbeat interval, because messages
+// get lost and the other replicas may start a little later than this one.
+func (n *Node) resendVoteRequests() {
 	if n.role != Follower && n.electionElapsed%n.o.HeartbeatTicks == 0 {
 		n.requestVotes()
 	}
 }
 
+// countVotes ends the campaign if a majority of voters granted or refused their votes.
 func (n *Node) countVotes() {
 	granted, refused := 0, 0
 	for _, m := range n.members.Members {
@@ -116,12 +122,12 @@
 	n.roundTicks = map[uint64]uint64{}
 	n.progress = map[string]*progress{}
 	n.loadMembers()
-	// An entry of the new term lets earlier entries commit.
+	// Entries of earlier terms are committed only together with one of the new term.
 	n.append(EntryNormal, nil)
 	n.broadcastHeartbeat()
 }
 
-// handleVoteRequest answers a vote or pre-vote request.
+// handleVoteRequest replies to a vote or pre-vote request.
 func (n *Node) handleVoteRequest(m *pb.RaftMessage) {
 	pre := MessageType(m.Type) == MsgPreVote
 	kind := MsgVoteReply
@@ -160,7 +166,7 @@
 		expected = n.term + 1
 	}
 	if !m.Reject && m.Term != expected {
-		return // answer to an earlier campaign
+		return // reply to an earlier campaign
 	}
 	if _, answered := n.votes[m.From]; !answered {
 		n.votes[m.From] = !m.Reject
@@ -168,9 +174,10 @@
 	n.countVotes()
 }
 
-// inLease reports whether a leader may hold a lease that this replica helped
-// to give: one was heard within the election timeout, or the replica restarted
-// so lately that it can't know.
+// inLease reports whether a leader may hold a lease that depends on this replica's
+// answers: the replica received a message from a leader within the election
+// timeout, or it restarted within the election timeout and may have answered a
+// leader shortly before.
 func (n *Node) inLease() bool {
 	if !n.o.NoLeases && n.restarted && n.tick < uint64(n.o.ElectionTicks) {
 		return true
@@ -178,7 +185,7 @@
 	return n.leader != "" && n.electionElapsed < n.o.ElectionTicks
 }
 
-// failReads answers the pending reads of a leader that lost its role.
+// failReads completes the pending reads with OK false after the leader lost its role.
 func (n *Node) failReads() {
 	for _, r := range n.reads {
 		n.doneReads = append(n.doneReads, Read{ID: r.id})
@@ -186,6 +193,7 @@
 	n.reads = nil
 }
 
+// confirmReads completes the pending reads whose heartbeat round a majority has answered.
 func (n *Node) confirmReads() {
 	if len(n.reads) == 0 {
 		return
--- a/internal/core/consensus/log.go
+++ b/internal/core/consensus/log.go
@@ -4,8 +4,8 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// replicaLog is the log after the last snapshot. Entry i has index
-// snapIndex+1+i.
+// replicaLog is the last snapshot and the log entries after it. entries[i] has
+// index snapIndex+1+i.
 type replicaLog struct {
 	snapIndex   uint64
 	snapTerm    uint64
@@ -24,8 +24,8 @@
 	return t
 }
 
-// term returns the term of the entry at index; ok is false when the entry is
-// compacted away or not there yet.
+// term returns the term of the entry at index. It returns false if the entry was
+// compacted or is beyond the end of the log.
 func (l *replicaLog) term(index uint64) (uint64, bool) {
 	if index == l.snapIndex {
 		return l.snapTerm, true
@@ -41,7 +41,8 @@
 	return ok && t == term
 }
 
-// slice returns the entries from low on, bounded by maxBytes but at least one.
+// slice returns the entries from index low on, up to maxBytes of data but at least
+// one entry.
 func (l *replicaLog) slice(low uint64, maxBytes int) []*pb.RaftEntry {
 	if low <= l.snapIndex || low > l.last() {
 		return nil
@@ -66,9 +67,9 @@
 	return l.entries[low-l.snapIndex : high-l.snapIndex : high-l.snapIndex]
 }
 
-// put appends entries, cutting a conflicting tail. It never cuts a committed
-// entry. Entries already present are skipped.
-func (l *replicaLog) put(entries []*pb.RaftEntry) {
+// merge skips the entries already in the log and appends the others. It removes a
+// conflicting tail of the log first, but never a committed entry.
+func (l *replicaLog) merge(entries []*pb.RaftEntry) {
 	for i, e := range entries {
 		if e.Index <= l.commit || l.matches(e.Index, e.Term) {
 			continue
@@ -79,7 +80,7 @@
 	}
 }
 
-// truncate drops the entries from index on.
+// truncate removes the entries from index on.
 func (l *replicaLog) truncate(index uint64) {
 	if index > l.last() {
 		return
@@ -89,7 +90,7 @@
 	l.stable = min(l.stable, index-1)
 }
 
-// compact drops the entries up to index, which a snapshot covers.
+// compact replaces the entries up to index by a snapshot with the state data.
 func (l *replicaLog) compact(index uint64, members *pb.RaftMembers, data []byte) {
 	t, ok := l.term(index)
 	if !ok || index <= l.snapIndex {
@@ -99,14 +100,15 @@
 	l.snapIndex, l.snapTerm, l.snapMembers, l.snapData = index, t, members, data
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the whole log with a snapshot.
 func (l *replicaLog) reset(s Snapshot) {
 	l.entries = nil
 	l.snapIndex, l.snapTerm, l.snapMembers, l.snapData = s.Index, s.Term, s.Members, s.Data
 	l.stable, l.commit, l.applied = s.Index, s.Index, s.Index
 }
 
-// members returns the members in force and the index that set them.
+// members returns the members in force and the index of the entry or snapshot that
+// set them.
 func (l *replicaLog) members() (*pb.RaftMembers, uint64) {
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		if e := l.entries[i]; EntryType(e.Type) == EntryMembers {
--- a/internal/core/consensus/members.go
+++ b/internal/core/consensus/members.go
@@ -7,9 +7,9 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// ProposeMembers appends a membership change. It is refused while another is
-// under way, when more than one voter changes, or when the new set would lack a
-// majority of replicas that are caught up and answer.
+// ProposeMembers appends a membership change. It is refused while another change
+// is not committed, if more than one voter changes, or if the new set would have no
+// majority of voters that are caught up and answering.
 func (n *Node) ProposeMembers(next *pb.RaftMembers) (index, term uint64, err error) {
 	if n.role != Leader {
 		return 0, 0, failure.New(failure.NoLeader, failure.NotRun, "replica %s is a %s", n.o.ID, n.role)
@@ -27,6 +27,7 @@
 	return n.append(EntryMembers, data), n.term, nil
 }
 
+// checkMembers returns an error if the group may lose its majority by a change to next.
 func (n *Node) checkMembers(next *pb.RaftMembers) error {
 	if changed := changedVoters(n.members, next); changed > 1 {
 		return failure.New(failure.UnsafeMembership, failure.NotRun, "%d voters change; change one at a time", changed)
@@ -78,9 +79,10 @@
 }
 
 // SurvivableLosses returns how many more replicas the group can lose now and
-// still accept changes: caught-up, answering voters beyond a majority. While a
-// membership change is not committed, the next leader may hold it or not, so the
-// smaller figure of both sets of voters counts; a voter being removed counts as lost.
+// still accept changes: the number of caught-up, answering voters beyond a majority;
+// negative if there is no majority. While a membership change is not committed, the
+// next leader may or may not have it in its log, so the result is the smaller number
+// of the old and the new set of voters; a voter being removed counts as lost.
 func SurvivableLosses(st Status) int {
 	ready := map[string]bool{}
 	for _, r := range st.Replicas {
@@ -93,7 +95,8 @@
 	return losses
 }
 
-// spareVoters returns the ready voters beyond a majority of the set.
+// spareVoters returns the number of ready voters beyond a majority of the set; negative if
+// they are fewer.
 func spareVoters(set *pb.RaftMembers, ready map[string]bool) int {
 	voters, spare := 0, 0
 	for _, m := range set.GetMembers() {
--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -10,7 +10,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// MessageType says what a RaftMessage is.
+// MessageType is the type of a RaftMessage.
 type MessageType uint32
 
 // Message types.
@@ -27,12 +27,12 @@
 	MsgSnapshotReply
 )
 
-// EntryType says what a log entry holds.
+// EntryType is the type of a log entry.
 type EntryType uint32
 
 // Entry types.
 const (
-	EntryNormal  EntryType = iota // a command; empty for a new leader's first entry
+	EntryNormal  EntryType = iota // a command, or empty data for a new leader's first entry
 	EntryMembers                  // an encoded RaftMembers
 )
 
@@ -52,7 +52,8 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Snapshot is a state of the state machine with the log position it covers.
+// Snapshot is a state of the state machine with the position of the last log entry that
+// it includes.
 type Snapshot struct {
 	Index   uint64
 	Term    uint64
@@ -63,29 +64,29 @@
 // Options configures a Node.
 type Options struct {
 	ID             string // identity of the replica's store
-	ElectionTicks  int    // ticks without a leader before an election (default 10)
+	ElectionTicks  int    // ticks without a leader's message before an election (default 10)
 	HeartbeatTicks int    // ticks between heartbeats (default 1)
-	MaxBatchBytes  int    // bytes of entries in one append (default 256 KiB)
-	MaxInflight    int    // appends under way to one follower (default 32)
-	ChunkBytes     int    // bytes of a snapshot chunk (default 64 KiB)
-	Seed           int64  // seeds the spread of election timeouts
-	// NoLeases says that nobody relies on LeaseTicks, which is then 0: a replica that
-	// has just started votes and stands at once.
+	MaxBatchBytes  int    // maximum bytes of entries in one append (default 256 KiB)
+	MaxInflight    int    // maximum unacknowledged appends to one follower (default 32)
+	ChunkBytes     int    // maximum bytes of a snapshot chunk (default 64 KiB)
+	Seed           int64  // seed of the random part of election timeouts
+	// NoLeases disables leader leases: LeaseTicks is always 0, and a replica that has
+	// just started votes and campaigns without waiting for an election timeout.
 	NoLeases bool
 
-	// State read from the journal.
+	// State recovered from the journal.
 	HardState *pb.HardState
 	Snapshot  Snapshot
 	Entries   []*pb.RaftEntry
 }
 
-// Ready holds the actions that the caller carries out, in this order: make
+// Ready holds the actions that the caller must carry out, in this order: make
 // Snapshot, HardState and Entries durable, send Messages, apply Snapshot and
-// Committed, answer Reads; then call Advance.
+// Committed, answer Reads, and call Advance.
 type Ready struct {
-	HardState *pb.HardState   // nil when unchanged
+	HardState *pb.HardState   // nil if unchanged
 	Snapshot  *Snapshot       // received from the leader; replaces the log
-	Entries   []*pb.RaftEntry // an entry replaces all from its index on
+	Entries   []*pb.RaftEntry // the first replaces all stored entries from its index on
 	Messages  []*pb.RaftMessage
 	Committed []*pb.RaftEntry
 	Reads     []Read
@@ -97,28 +98,28 @@
 		len(r.Messages) == 0 && len(r.Committed) == 0 && len(r.Reads) == 0
 }
 
-// Read is a confirmed linearizable read: the state at Index or later may be
-// shown to the reader with the ID.
+// Read is the result of ReadIndex(ID): once the replica has applied the log up to
+// Index, its state may be returned to the reader.
 type Read struct {
 	ID    uint64
 	Index uint64
-	OK    bool // false when the leader lost its role first
+	OK    bool // false if the leader lost its role before a majority confirmed it
 }
 
 type pendingRead struct {
 	id, index, round uint64
 }
 
-// Node is one replica.
+// Node is one replica of the group. It is not safe for concurrent use.
 type Node struct {
-	o      Options
-	rnd    *rand.Rand
-	term   uint64
-	vote   string
-	saved  pb.HardState
-	role   Role
-	leader string
-	log    replicaLog
+	o            Options
+	rnd          *rand.Rand
+	term         uint64
+	vote         string
+	durableState pb.HardState
+	role         Role
+	leader       string
+	log          replicaLog
 
 	fresh        freshness
 	members      *pb.RaftMembers
@@ -126,24 +127,24 @@
 	progress     map[string]*progress
 	votes        map[string]bool
 
-	restarted        bool // continues from a hard state
+	restarted        bool // started with a hard state of an earlier run
 	tick             uint64
 	electionElapsed  int
 	electionTimeout  int
 	heartbeatElapsed int
 
-	round      uint64            // number of the last heartbeat broadcast
-	roundTicks map[uint64]uint64 // tick at which a round was broadcast
+	round      uint64            // sequence number of the last heartbeat broadcast
+	roundTicks map[uint64]uint64 // tick at which each recent round was broadcast
 	reads      []pendingRead
 	doneReads  []Read
 
-	msgs     []*pb.RaftMessage
-	received *Snapshot
-	chunks   []byte // snapshot being received
-	chunkKey [2]uint64
+	msgs             []*pb.RaftMessage
+	receivedSnapshot *Snapshot
+	snapshotBuf      []byte // data received so far of a snapshot
+	snapshotKey      [2]uint64
 }
 
-// New returns a replica that continues from the journal's state.
+// New returns a replica in the state given by the options. It starts as a follower.
 func New(o Options) *Node {
 	setDefault(&o.ElectionTicks, 10)
 	setDefault(&o.HeartbeatTicks, 1)
@@ -162,12 +163,12 @@
 		n.restarted = h.Term > 0
 		n.term, n.vote = h.Term, h.Vote
 		n.log.commit = min(max(h.Commit, s.Index), n.log.last())
-		n.saved = pb.HardState{Term: h.Term, Vote: h.Vote, Commit: h.Commit}
+		n.durableState = pb.HardState{Term: h.Term, Vote: h.Vote, Commit: h.Commit}
 	}
 	n.loadMembers()
 	n.becomeFollower(n.term, "")
 	if o.NoLeases {
-		n.standAtOnce()
+		n.scheduleFirstCampaign()
 	}
 	return n
 }
@@ -178,7 +179,7 @@
 	}
 }
 
-// Tick advances the replica's time by one tick.
+// Tick advances the replica's logical clock by one tick.
 func (n *Node) Tick() {
 	n.tick++
 	n.electionElapsed++
@@ -190,13 +191,13 @@
 		n.campaign(PreCandidate)
 		return
 	}
-	n.askAgain()
+	n.resendVoteRequests()
 }
 
 func (n *Node) tickLeader() {
 	if n.electionElapsed >= n.o.ElectionTicks {
 		n.electionElapsed = 0
-		if n.contactTicks() == 0 {
+		if n.quorumContactTicksLeft() == 0 {
 			n.becomeFollower(n.term, "")
 			return
 		}
@@ -207,7 +208,8 @@
 	}
 }
 
-// Propose appends a command to the leader's log.
+// Propose appends a command to the leader's log and returns its position. The command is
+// committed only if Ready returns an entry with this index and term in Committed.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader {
 		return 0, 0, failure.New(failure.NoLeader, failure.NotRun, "replica %s is a %s", n.o.ID, n.role)
@@ -215,7 +217,7 @@
 	return n.append(EntryNormal, data), n.term, nil
 }
 
-// ReadIndex asks for a linearizable read. Ready returns a Read with the id.
+// ReadIndex starts a linearizable read. A later Ready returns a Read with the id.
 func (n *Node) ReadIndex(id uint64) error {
 	if n.role != Leader {
 		return failure.New(failure.NoLeader, "", "replica %s is a %s", n.o.ID, n.role)
@@ -229,7 +231,8 @@
 	return nil
 }
 
-// append adds an entry to the leader's log and sends it out.
+// append adds an entry to the leader's log, sends it to the other members and returns
+// its index.
 func (n *Node) append(t EntryType, data []byte) uint64 {
 	index := n.log.last() + 1
 	e := &pb.RaftEntry{Term: n.term, Index: index, Type: uint32(t), Data: data}
@@ -241,25 +244,25 @@
 	return index
 }
 
-// Ready returns the pending actions.
+// Ready returns the pending actions; see the type Ready.
 func (n *Node) Ready() Ready {
 	var rd Ready
-	if n.term != n.saved.Term || n.vote != n.saved.Vote || n.log.commit != n.saved.Commit {
+	if n.term != n.durableState.Term || n.vote != n.durableState.Vote || n.log.commit != n.durableState.Commit {
 		rd.HardState = &pb.HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
 	}
-	rd.Snapshot = n.received
+	rd.Snapshot = n.receivedSnapshot
 	rd.Entries = n.log.between(n.log.stable, n.log.last())
 	rd.Messages = n.msgs
 	rd.Committed = n.log.between(n.log.applied, min(n.log.commit, n.log.last()))
 	rd.Reads = n.doneReads
-	n.msgs, n.doneReads, n.received = nil, nil, nil
+	n.msgs, n.doneReads, n.receivedSnapshot = nil, nil, nil
 	return rd
 }
 
 // Advance reports that the actions of rd were carried out.
 func (n *Node) Advance(rd Ready) {
 	if rd.HardState != nil {
-		n.saved = pb.HardState{Term: rd.HardState.Term, Vote: rd.HardState.Vote, Commit: rd.HardState.Commit}
+		n.durableState = pb.HardState{Term: rd.HardState.Term, Vote: rd.HardState.Vote, Commit: rd.HardState.Commit}
 	}
 	if k := len(rd.Entries); k > 0 {
 		last := rd.Entries[k-1]
@@ -275,24 +278,25 @@
 	}
 }
 
-// Compact drops the log up to index, whose state data is.
+// Compact replaces the log up to index with a snapshot. data is the encoded state at index.
 func (n *Node) Compact(index uint64, data []byte) {
 	n.log.compact(index, n.log.membersAt(index), data)
 }
 
-// SnapshotAt returns the snapshot that Compact(index, data) would keep.
+// SnapshotAt returns the snapshot that Compact(index, data) would create.
 func (n *Node) SnapshotAt(index uint64, data []byte) Snapshot {
 	t, _ := n.log.term(index)
 	return Snapshot{Index: index, Term: t, Members: n.log.membersAt(index), Data: data}
 }
 
-// Tail returns the hard state and the entries after index, for a new journal segment.
+// Tail returns the hard state and the entries after index, with which a new journal
+// segment starts.
 func (n *Node) Tail(index uint64) (*pb.HardState, []*pb.RaftEntry) {
 	h := &pb.HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
 	return h, n.log.between(index, n.log.last())
 }
 
-// Status describes a replica.
+// Status is a replica's state for monitoring and repair.
 type Status struct {
 	ID      string
 	Role    Role
@@ -301,8 +305,8 @@
 	Commit  uint64
 	Applied uint64
 	Members *pb.RaftMembers
-	// CommittedMembers are the members before a change that is not committed yet;
-	// nil while there is none.
+	// CommittedMembers are the members before a membership change that is not
+	// committed yet; nil if there is no such change.
 	CommittedMembers *pb.RaftMembers
 	Replicas         []ReplicaStatus // on the leader only
 }
@@ -313,8 +317,8 @@
 	Address  string
 	Learner  bool
 	Match    uint64
-	Recent   bool // answered within the election timeout
-	CaughtUp bool // holds everything committed, but for appends under way
+	Recent   bool // has answered within the election timeout
+	CaughtUp bool // recent, and at most catchUpLag entries behind the commit index
 }
 
 // Status returns the replica's state.
@@ -350,10 +354,10 @@
 // Term returns the replica's term.
 func (n *Node) Term() uint64 { return n.term }
 
-// Leader returns the ID of the leader last heard of, or "".
+// Leader returns the ID of the current term's leader, or "" if unknown.
 func (n *Node) Leader() string { return n.leader }
 
-// Address returns a member's address, or "".
+// Address returns a member's address, or "" if there is no such member.
 func (n *Node) Address(id string) string {
 	for _, m := range n.members.Members {
 		if m.Id == id {
@@ -363,36 +367,39 @@
 	return ""
 }
 
-// catchUpLag is how many entries a caught-up replica may be behind.
+// catchUpLag is how many entries a caught-up replica may be behind the commit index,
+// for appends in flight.
 const catchUpLag = 64
 
+// isRecent reports whether a member has answered within the election timeout. This replica
+// always has.
 func (n *Node) isRecent(id string, p *progress) bool {
 	return id == n.o.ID || (p.ackTick > 0 && n.tick-p.ackTick < uint64(n.o.ElectionTicks))
 }
 
-// LeaseTicks returns for how many more ticks no other replica can become
-// leader; 0 when this replica is not a leader with a live lease.
+// LeaseTicks returns the remaining ticks of the leader lease, during which no
+// other replica can become leader; 0 if this replica holds no lease.
 func (n *Node) LeaseTicks() int {
 	if n.role != Leader || n.o.NoLeases {
 		return 0
 	}
-	return n.contactTicks()
+	return n.quorumContactTicksLeft()
 }
 
-// contactTicks returns for how many more ticks a leader counts as in contact with a
-// majority.
-func (n *Node) contactTicks() int {
-	sent := n.majorityHeardUntil()
+// quorumContactTicksLeft returns for how many more ticks the leader counts as in contact with
+// a majority of voters.
+func (n *Node) quorumContactTicksLeft() int {
+	sent := n.quorumContactTick()
 	left := int64(sent) + int64(n.o.ElectionTicks) - int64(n.tick)
-	if sent == 0 && !n.aloneVoter() {
+	if sent == 0 && !n.isSoleVoter() {
 		return 0
 	}
 	return int(max(left, 0))
 }
 
-// majorityHeardUntil returns the tick of the newest heartbeat that a majority of voters
-// answered, this leader included.
-func (n *Node) majorityHeardUntil() uint64 {
+// quorumContactTick returns the send tick of the latest heartbeat that a majority of voters,
+// this leader included, has answered.
+func (n *Node) quorumContactTick() uint64 {
 	return n.quorumOf(func(id string, p *progress) uint64 {
 		if id == n.o.ID {
 			return n.tick
@@ -401,11 +408,11 @@
 	})
 }
 
-func (n *Node) aloneVoter() bool {
+func (n *Node) isSoleVoter() bool {
 	return countVoters(n.members) == 1 && n.isVoter(n.o.ID)
 }
 
-// quorumOf returns the largest value that a majority of voters reach.
+// quorumOf returns the largest value that a majority of voters have reached.
 func (n *Node) quorumOf(value func(string, *progress) uint64) uint64 {
 	var values []uint64
 	for _, m := range n.members.Members {
@@ -425,6 +432,7 @@
 	return values[len(values)/2]
 }
 
+// decodeMembers decodes the data of an EntryMembers entry. Invalid data gives no members.
 func decodeMembers(data []byte) *pb.RaftMembers {
 	m := new(pb.RaftMembers)
 	if err := proto.Unmarshal(data, m); err != nil {
--- a/internal/core/consensus/repair.go
+++ b/internal/core/consensus/repair.go
@@ -8,42 +8,44 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// LiveStore is a control host's store that was heard lately.
+// LiveStore is the store of a control host that is live. A store's ID changes if its data
+// folder is lost.
 type LiveStore struct {
 	ID      string
 	Address string
-	// Region and FailureDomain say where it is; "" for unknown.
+	// Region and FailureDomain are the control host's location; "" if unknown.
 	Region, FailureDomain string
 }
 
-// RepairLimits bounds the repair of the group.
+// RepairLimits holds the limits for NextMembers.
 type RepairLimits struct {
-	// MaxVoters bounds the voters. Five bear the loss of any two.
+	// MaxVoters is the maximum number of voters. Five tolerate the loss of any two.
 	MaxVoters int
-	// LostAfter is how long a voter must be silent before a caught-up learner
-	// may take its place. It is longer than a restart.
+	// LostAfter is how long a member must leave the leader's messages unanswered
+	// before it counts as lost and a caught-up learner may replace it. It is
+	// longer than a restart.
 	LostAfter time.Duration
 }
 
 // NextMembers returns the next membership change that brings the group closer
-// to a full set of voters, or nil when there is nothing to do. It makes one step
+// to a full set of voters, or nil if no change is needed. It makes one step
 // at a time and adds before it removes:
 //
-//   - live stores outside the group become learners, all in one step, as learners change no
-//     quorum; a learner that is gone leaves;
-//   - a caught-up learner becomes a voter while voters are missing, or when a
-//     voter is lost: one of the region, then the failure domain, with the fewest voters, so
-//     that the loss of one takes no majority with it;
-//   - a lost voter is removed once there is a voter more than needed.
+//   - Live stores outside the group become learners, all in one step, because learners do
+//     not change the quorum. A lost learner whose store is not live is removed.
+//   - A caught-up learner becomes a voter if there are too few voters or if a
+//     voter is lost. Learners in the region, then in the failure domain, with the fewest
+//     voters are preferred, so that the loss of one does not include a majority.
+//   - A lost voter is removed once there is one voter more than needed.
 //
-// A member is superseded when another live store has its address: its data folder
-// was lost, and its identity never comes back. silent tells for how long each
-// member has not answered.
-func NextMembers(st Status, live []LiveStore, silent map[string]time.Duration, l RepairLimits) *pb.RaftMembers {
+// A member is superseded if another live store has its address: its data folder
+// was lost, and its identity never returns. unansweredFor is how long each member
+// has not answered the leader.
+func NextMembers(st Status, live []LiveStore, unansweredFor map[string]time.Duration, l RepairLimits) *pb.RaftMembers {
 	if st.Role != Leader {
 		return nil
 	}
-	g := newGroupView(st, live, silent, l)
+	g := newGroupView(st, live, unansweredFor, l)
 	next := proto.Clone(st.Members).(*pb.RaftMembers)
 	for _, s := range live {
 		if !g.member[s.ID] {
@@ -80,27 +82,27 @@
 	return nil
 }
 
-// groupView is what NextMembers derives from its input.
+// groupView holds what NextMembers derives from its arguments.
 type groupView struct {
 	member, live, superseded, lost map[string]bool
-	voters, target                 int
+	voters, targetVoters           int
 	caughtUp                       map[string]bool
-	place                          map[string]LiveStore // of the stores heard lately, by ID
+	location                       map[string]LiveStore // live stores by ID
 	// inRegion and inDomain count the voters that are not lost.
 	inRegion, inDomain map[string]int
 }
 
-func newGroupView(st Status, live []LiveStore, silent map[string]time.Duration, l RepairLimits) *groupView {
+func newGroupView(st Status, live []LiveStore, unansweredFor map[string]time.Duration, l RepairLimits) *groupView {
 	g := &groupView{
 		member: map[string]bool{}, live: map[string]bool{}, superseded: map[string]bool{}, lost: map[string]bool{}, caughtUp: map[string]bool{},
-		place: map[string]LiveStore{}, inRegion: map[string]int{}, inDomain: map[string]int{},
+		location: map[string]LiveStore{}, inRegion: map[string]int{}, inDomain: map[string]int{},
 	}
 	at := map[string]string{}
 	addresses := map[string]bool{}
 	for _, s := range live {
 		at[s.Address] = s.ID
 		g.live[s.ID] = true
-		g.place[s.ID] = s
+		g.location[s.ID] = s
 		addresses[s.Address] = true
 	}
 	for _, m := range st.Members.Members {
@@ -108,12 +110,12 @@
 		if id, ok := at[m.Address]; ok && id != m.Id {
 			g.superseded[m.Id] = true
 		}
-		g.lost[m.Id] = g.superseded[m.Id] || silent[m.Id] >= l.LostAfter
+		g.lost[m.Id] = g.superseded[m.Id] || unansweredFor[m.Id] >= l.LostAfter
 		if !m.Learner {
 			g.voters++
-			addresses[m.Address] = true // also of a lost one: it may come back
+			addresses[m.Address] = true // a lost voter counts too, because it may return
 		}
-		if at, ok := g.place[m.Id]; ok && !m.Learner && !g.lost[m.Id] {
+		if at, ok := g.location[m.Id]; ok && !m.Learner && !g.lost[m.Id] {
 			g.inRegion[at.Region]++
 			g.inDomain[at.FailureDomain]++
 		}
@@ -121,16 +123,16 @@
 	for _, r := range st.Replicas {
 		g.caughtUp[r.ID] = r.CaughtUp
 	}
-	g.target = min(l.MaxVoters, len(addresses))
-	if g.target%2 == 0 {
-		g.target--
+	g.targetVoters = min(l.MaxVoters, len(addresses))
+	if g.targetVoters%2 == 0 {
+		g.targetVoters--
 	}
 	return g
 }
 
-// removable returns a lost voter that the group can spare.
+// removable returns a lost voter that is no longer needed, or "" if there is none.
 func (g *groupView) removable(st Status) string {
-	if g.voters <= max(g.target, 1) {
+	if g.voters <= max(g.targetVoters, 1) {
 		return ""
 	}
 	for _, m := range st.Members.Members {
@@ -141,15 +143,15 @@
 	return ""
 }
 
-// promotable returns a caught-up learner that the group needs as a voter: one of the best
-// place. While no voter is lost, a better placed learner that is still catching up is waited
-// for: the group would keep the worse one.
+// promotable returns the preferred caught-up learner to become a voter, or "" if there is
+// none or no voter is needed. While no voter is lost, it waits for a preferred learner that
+// is still catching up, because a less preferred one would then stay a voter.
 func (g *groupView) promotable(st Status) string {
 	lostVoter := false
 	for _, m := range st.Members.Members {
 		lostVoter = lostVoter || (!m.Learner && g.lost[m.Id])
 	}
-	if g.voters >= g.target && !lostVoter {
+	if g.voters >= g.targetVoters && !lostVoter {
 		return ""
 	}
 	best := ""
@@ -157,7 +159,7 @@
 		if !m.Learner || g.lost[m.Id] || (lostVoter && !g.caughtUp[m.Id]) {
 			continue
 		}
-		if best == "" || g.better(m.Id, best) {
+		if best == "" || g.preferred(m.Id, best) {
 			best = m.Id
 		}
 	}
@@ -167,11 +169,11 @@
 	return best
 }
 
-// better reports whether a learner is the better voter than another: its place has fewer
+// preferred reports whether a learner is the preferred voter than another: its place has fewer
 // voters; at equal places one that is caught up.
-func (g *groupView) better(id, than string) bool {
-	a, knownA := g.place[id]
-	b, knownB := g.place[than]
+func (g *groupView) preferred(id, than string) bool {
+	a, knownA := g.location[id]
+	b, knownB := g.location[than]
 	if knownA != knownB {
 		return knownA
 	}
--- a/internal/core/consensus/repair_test.go
+++ b/internal/core/consensus/repair_test.go
@@ -8,9 +8,9 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// groupOf builds a leader's status: a name is a voter, name? a learner, name! one
+// statusOf builds a leader's status: a name is a voter, name? a learner, name! one
 // that is not caught up. Every address is the name's part before a dot.
-func groupOf(names ...string) Status {
+func statusOf(names ...string) Status {
 	st := Status{ID: strings.TrimRight(names[0], "?!"), Role: Leader, Members: &pb.RaftMembers{}}
 	for _, n := range names {
 		id := strings.TrimRight(n, "?!")
@@ -79,7 +79,7 @@
 			for _, id := range strings.Fields(c.silent) {
 				silent[id] = time.Minute
 			}
-			st := groupOf(c.group...)
+			st := statusOf(c.group...)
 			got := describe(NextMembers(st, live, silent, RepairLimits{MaxVoters: 5, LostAfter: 8 * time.Second}))
 			if got != c.want {
 				t.Errorf("next %s, want %s", got, c.want)
@@ -92,9 +92,9 @@
 	}
 }
 
-// placed is a store whose name says where it is: region, failure domain and number, as in
+// storeNamed is a store whose name says where it is: region, failure domain and number, as in
 // "A1x".
-func placed(name string) LiveStore {
+func storeNamed(name string) LiveStore {
 	return LiveStore{ID: name, Address: name, Region: name[:1], FailureDomain: name[:2]}
 }
 
@@ -118,12 +118,12 @@
 			st := Status{ID: "C1a", Role: Leader, Members: &pb.RaftMembers{}}
 			for _, name := range strings.Fields(c.founders) {
 				st.Members.Members = append(st.Members.Members, &pb.RaftMember{Id: name, Address: name})
-				live = append(live, placed(name))
+				live = append(live, storeNamed(name))
 			}
 			for _, name := range strings.Fields(c.others) {
-				live = append(live, placed(name))
+				live = append(live, storeNamed(name))
 			}
-			st = grow(st, live, nil)
+			st = applyRepairs(st, live, nil)
 			silent := map[string]time.Duration{}
 			if c.lost != "" {
 				kept := live[:0]
@@ -134,7 +134,7 @@
 						kept = append(kept, s)
 					}
 				}
-				st = grow(st, kept, silent)
+				st = applyRepairs(st, kept, silent)
 			}
 			regions, domains, voters := map[string]int{}, map[string]int{}, 0
 			for _, m := range st.Members.Members {
@@ -161,8 +161,8 @@
 	}
 }
 
-// grow takes the steps of the repair until there is none left; learners catch up at once.
-func grow(st Status, live []LiveStore, silent map[string]time.Duration) Status {
+// applyRepairs takes the steps of the repair until there is none left; learners catch up at once.
+func applyRepairs(st Status, live []LiveStore, silent map[string]time.Duration) Status {
 	for range 100 {
 		st.Replicas = nil
 		for _, m := range st.Members.Members {
--- a/internal/core/consensus/replicate.go
+++ b/internal/core/consensus/replicate.go
@@ -2,24 +2,24 @@
 
 import pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 
-// progress is the leader's view of a follower.
+// progress is the leader's record of a member's replication.
 type progress struct {
-	match, next uint64
-	probing     bool   // one append at a time until the logs are known to match
-	paused      bool   // a probe is under way; cleared by any answer or heartbeat
-	inflight    int    // appends without an answer
-	snapshot    bool   // a snapshot is under way
-	offset      uint64 // bytes of it acknowledged
-	answered    bool   // a chunk was answered since the last heartbeat
-	snapIndex   uint64
-	ackTick     uint64 // when the last answer arrived
-	ackSent     uint64 // when the newest answered heartbeat was sent
-	ackRound    uint64 // round of that heartbeat
-	sentRound   uint64 // newest round when the last append was sent
+	match, next     uint64
+	probing         bool   // one append at a time until a common log position is found
+	paused          bool   // a probe is in flight; cleared by its answer and by each heartbeat
+	inflight        int    // unacknowledged appends
+	sendingSnapshot bool   // a snapshot transfer is in progress
+	snapOffset      uint64 // bytes of the snapshot acknowledged
+	chunkAcked      bool   // a chunk was acknowledged since the last heartbeat reply
+	snapIndex       uint64
+	ackTick         uint64 // tick at which the last reply was received
+	ackSent         uint64 // tick at which the latest answered heartbeat was sent
+	ackRound        uint64 // round of the latest answered heartbeat
+	sentRound       uint64 // latest heartbeat round when the last append was sent
 }
 
-// resendRounds is after how many further heartbeats were answered an append counts
-// as lost. Heartbeats may overtake a large append on its way.
+// resendRounds is the number of later heartbeat rounds after whose answers an append counts
+// as lost. It is more than one because heartbeats may overtake a large append in transit.
 const resendRounds = 4
 
 func (n *Node) send(m *pb.RaftMessage) {
@@ -27,8 +27,8 @@
 	n.msgs = append(n.msgs, m)
 }
 
-// loadMembers takes the members in force from the log and keeps the leader's
-// progress map in step.
+// loadMembers sets the members in force from the log. On the leader, it also adds
+// and removes their progress records.
 func (n *Node) loadMembers() {
 	n.members, n.membersIndex = n.log.members()
 	if n.role != Leader {
@@ -67,6 +67,7 @@
 	return count
 }
 
+// broadcastHeartbeat starts a new heartbeat round.
 func (n *Node) broadcastHeartbeat() {
 	n.heartbeatElapsed = 0
 	n.round++
@@ -93,10 +94,11 @@
 	}
 }
 
-// sendAppend sends what the follower lacks, as far as flow control allows.
+// sendAppend sends the next entries to a follower if flow control allows it, or starts a
+// snapshot transfer if they have been compacted.
 func (n *Node) sendAppend(to string) {
 	p := n.progress[to]
-	if p == nil || p.paused || p.snapshot || p.inflight >= n.o.MaxInflight {
+	if p == nil || p.paused || p.sendingSnapshot || p.inflight >= n.o.MaxInflight {
 		return
 	}
 	prevTerm, ok := n.log.term(p.next - 1)
@@ -121,29 +123,29 @@
 }
 
 func (n *Node) startSnapshot(to string, p *progress) {
-	p.snapshot, p.offset, p.snapIndex = true, 0, n.log.snapIndex
+	p.sendingSnapshot, p.snapOffset, p.snapIndex = true, 0, n.log.snapIndex
 	n.sendChunk(to, p)
 }
 
-// sendChunk sends the snapshot's next chunk. A snapshot that was compacted
-// further meanwhile starts again from the newest one.
+// sendChunk sends the next chunk of the snapshot. If a newer snapshot has
+// replaced the one in transfer, it starts again with the newer one.
 func (n *Node) sendChunk(to string, p *progress) {
 	if p.snapIndex != n.log.snapIndex {
-		p.offset, p.snapIndex = 0, n.log.snapIndex
+		p.snapOffset, p.snapIndex = 0, n.log.snapIndex
 	}
 	data := n.log.snapData
-	end := min(p.offset+uint64(n.o.ChunkBytes), uint64(len(data)))
+	end := min(p.snapOffset+uint64(n.o.ChunkBytes), uint64(len(data)))
 	n.send(&pb.RaftMessage{
 		Type: uint32(MsgSnapshot), To: to, Term: n.term,
 		Snapshot: &pb.SnapshotChunk{
 			Index: n.log.snapIndex, Term: n.log.snapTerm, Members: n.log.snapMembers,
-			Offset: p.offset, Total: uint64(len(data)), Data: data[p.offset:end],
+			Offset: p.snapOffset, Total: uint64(len(data)), Data: data[p.snapOffset:end],
 		},
 	})
 }
 
-// maybeCommit advances the commit index to what a majority holds, counting
-// only entries of the leader's own term.
+// maybeCommit advances the commit index to the last entry that a majority holds,
+// if that entry is of the leader's own term.
 func (n *Node) maybeCommit() {
 	index := n.quorumOf(func(id string, p *progress) uint64 {
 		if id == n.o.ID {
@@ -157,20 +159,20 @@
 	n.log.commit = index
 	if index >= n.membersIndex && !n.isVoter(n.o.ID) {
 		n.broadcastHeartbeat()
-		n.becomeFollower(n.term, "") // the leader removed itself
+		n.becomeFollower(n.term, "") // this leader's removal from the group is committed
 		return
 	}
 	n.broadcastAppend()
 }
 
-// Step feeds a received message.
+// Step processes a received message.
 func (n *Node) Step(m *pb.RaftMessage) {
 	t := MessageType(m.Type)
-	if m.Term > n.term && !n.acceptTerm(t, m) {
+	if m.Term > n.term && !n.handleHigherTerm(t, m) {
 		return
 	}
 	if m.Term < n.term {
-		n.answerStale(t, m)
+		n.rejectStaleTerm(t, m)
 		return
 	}
 	switch t {
@@ -179,22 +181,22 @@
 	case MsgPreVoteReply, MsgVoteReply:
 		n.handleVoteReply(m)
 	case MsgAppend:
-		n.follow(m)
+		n.acceptLeader(m)
 		n.handleAppend(m)
 	case MsgHeartbeat:
-		n.follow(m)
+		n.acceptLeader(m)
 		n.handleHeartbeat(m)
 	case MsgSnapshot:
-		n.follow(m)
+		n.acceptLeader(m)
 		n.handleSnapshot(m)
 	case MsgAppendReply, MsgHeartbeatReply, MsgSnapshotReply:
 		n.handleReply(t, m)
 	}
 }
 
-// acceptTerm deals with a message of a higher term. It returns false when the
-// message is ignored.
-func (n *Node) acceptTerm(t MessageType, m *pb.RaftMessage) bool {
+// handleHigherTerm processes the term of a message that is higher than this replica's. It
+// returns false if the message is to be ignored.
+func (n *Node) handleHigherTerm(t MessageType, m *pb.RaftMessage) bool {
 	switch t {
 	case MsgPreVote, MsgVote:
 		if n.inLease() {
@@ -215,8 +217,8 @@
 	return true
 }
 
-// answerStale tells a leader or candidate of an old term the current term.
-func (n *Node) answerStale(t MessageType, m *pb.RaftMessage) {
+// rejectStaleTerm sends the current term to a leader or pre-candidate of an earlier term.
+func (n *Node) rejectStaleTerm(t MessageType, m *pb.RaftMessage) {
 	switch t {
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
 		n.send(&pb.RaftMessage{Type: uint32(MsgHeartbeatReply), To: m.From, Term: n.term, Reject: true})
@@ -225,8 +227,9 @@
 	}
 }
 
-// follow accepts the sender as this term's leader.
-func (n *Node) follow(m *pb.RaftMessage) {
+// acceptLeader records the sender of a message as this term's leader and restarts the
+// election timer.
+func (n *Node) acceptLeader(m *pb.RaftMessage) {
 	if n.role != Follower {
 		n.becomeFollower(n.term, m.From)
 	}
@@ -237,7 +240,7 @@
 func (n *Node) handleAppend(m *pb.RaftMessage) {
 	reply := &pb.RaftMessage{Type: uint32(MsgAppendReply), To: m.From, Term: n.term, Index: m.Index}
 	if m.Index < n.log.commit {
-		reply.Index = n.log.commit // everything up to the commit index matches
+		reply.Index = n.log.commit // committed entries match the leader's log
 		n.send(reply)
 		return
 	}
@@ -247,7 +250,7 @@
 		n.send(reply)
 		return
 	}
-	n.log.put(m.Entries)
+	n.log.merge(m.Entries)
 	n.loadMembers()
 	last := m.Index + uint64(len(m.Entries))
 	n.log.commit = max(n.log.commit, min(m.Commit, last))
@@ -256,14 +259,14 @@
 }
 
 func (n *Node) handleHeartbeat(m *pb.RaftMessage) {
-	n.fresh.hear(m.LeaderCommit, n.log.applied, n.tick)
+	n.fresh.observe(m.LeaderCommit, n.log.applied, n.tick)
 	n.log.commit = max(n.log.commit, min(m.Commit, n.log.last()))
 	n.send(&pb.RaftMessage{
 		Type: uint32(MsgHeartbeatReply), To: m.From, Term: n.term, Context: m.Context, Index: n.log.last(),
 	})
 }
 
-// handleSnapshot collects the chunks of a snapshot and installs it when whole.
+// handleSnapshot collects the chunks of a snapshot and installs it when complete.
 func (n *Node) handleSnapshot(m *pb.RaftMessage) {
 	c := m.Snapshot
 	reply := &pb.RaftMessage{Type: uint32(MsgSnapshotReply), To: m.From, Term: n.term, Index: n.log.commit}
@@ -272,26 +275,26 @@
 		return
 	}
 	key := [2]uint64{c.Index, c.Term}
-	if key != n.chunkKey {
-		n.chunkKey, n.chunks = key, nil
+	if key != n.snapshotKey {
+		n.snapshotKey, n.snapshotBuf = key, nil
 	}
-	if c.Offset == uint64(len(n.chunks)) {
-		n.chunks = append(n.chunks, c.Data...)
+	if c.Offset == uint64(len(n.snapshotBuf)) {
+		n.snapshotBuf = append(n.snapshotBuf, c.Data...)
 	}
-	reply.Hint = uint64(len(n.chunks))
+	reply.Hint = uint64(len(n.snapshotBuf))
 	reply.Context = c.Index
-	if uint64(len(n.chunks)) < c.Total {
+	if uint64(len(n.snapshotBuf)) < c.Total {
 		return
 	}
-	s := Snapshot{Index: c.Index, Term: c.Term, Members: c.Members, Data: n.chunks}
-	n.chunks, n.chunkKey = nil, [2]uint64{}
+	s := Snapshot{Index: c.Index, Term: c.Term, Members: c.Members, Data: n.snapshotBuf}
+	n.snapshotBuf, n.snapshotKey = nil, [2]uint64{}
 	n.log.reset(s)
-	n.received = &s
+	n.receivedSnapshot = &s
 	n.loadMembers()
 	reply.Index = s.Index
 }
 
-// handleReply takes a follower's answer.
+// handleReply processes a follower's reply.
 func (n *Node) handleReply(t MessageType, m *pb.RaftMessage) {
 	p := n.progress[m.From]
 	if n.role != Leader || p == nil {
@@ -323,7 +326,7 @@
 	n.advance(p, m.From, m.Index)
 }
 
-// advance records that the follower holds the log up to index.
+// advance records that a follower's log matches up to index and sends it further entries.
 func (n *Node) advance(p *progress, id string, index uint64) {
 	if index > p.match {
 		p.match = index
@@ -342,17 +345,17 @@
 		p.ackSent = n.roundTicks[m.Context]
 	}
 	n.confirmReads()
-	if p.snapshot {
-		if !p.answered {
-			n.sendChunk(m.From, p) // the chunk or its answer may be lost
+	if p.sendingSnapshot {
+		if !p.chunkAcked {
+			n.sendChunk(m.From, p) // the chunk or its reply may be lost
 		}
-		p.answered = false
+		p.chunkAcked = false
 		return
 	}
 	if p.match < n.log.last() {
 		lost := m.Context > p.sentRound+resendRounds
 		if lost && (p.next == n.log.last()+1 || p.inflight >= n.o.MaxInflight) {
-			// Go back to the last known match.
+			// Resume from the last entry that is known to match.
 			p.next, p.inflight, p.probing, p.paused = p.match+1, 0, true, false
 		}
 		if lost || (!p.probing && p.next <= n.log.last()) {
@@ -362,17 +365,17 @@
 }
 
 func (n *Node) handleSnapshotReply(p *progress, m *pb.RaftMessage) {
-	if !p.snapshot {
+	if !p.sendingSnapshot {
 		return
 	}
 	if m.Index >= p.snapIndex {
-		p.snapshot, p.inflight, p.paused = false, 0, false
+		p.sendingSnapshot, p.inflight, p.paused = false, 0, false
 		n.advance(p, m.From, m.Index)
 		return
 	}
-	p.answered = true
+	p.chunkAcked = true
 	if m.Context == p.snapIndex {
-		p.offset = min(m.Hint, uint64(len(n.log.snapData)))
+		p.snapOffset = min(m.Hint, uint64(len(n.log.snapData)))
 	}
 	n.sendChunk(m.From, p)
 }
--- a/internal/core/consensus/restart_test.go
+++ b/internal/core/consensus/restart_test.go
@@ -8,11 +8,11 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// never is the start of a replica that stays down.
-const never = -1
+// neverStarts is the start of a replica that stays down.
+const neverStarts = -1
 
-// underWay is a message that arrives at a tick.
-type underWay struct {
+// delayedMessage is a message that arrives at a tick.
+type delayedMessage struct {
 	m  *pb.RaftMessage
 	at int
 }
@@ -22,13 +22,13 @@
 // take oneWay ticks, and those that find a replica down are lost.
 func restartAll(t *testing.T, noLeases bool, oneWay int, starts map[string]int) int {
 	t.Helper()
-	w := newWorldLeases(1, len(starts), breakage{}, noLeases)
+	w := newSimulationLeases(1, len(starts), disabledMechanisms{}, noLeases)
 	w.elect("s0")
 	w.tickAll(5)
 	for _, id := range w.order {
 		w.crash(w.servers[id])
 	}
-	var net []underWay
+	var net []delayedMessage
 	for tick := range 100 {
 		for _, id := range w.order {
 			s := w.servers[id]
@@ -38,7 +38,7 @@
 				s.node.Tick()
 			}
 		}
-		var later []underWay
+		var later []delayedMessage
 		for _, u := range net {
 			to := w.servers[u.m.To]
 			switch {
@@ -53,7 +53,7 @@
 			w.process(w.servers[id], false)
 		}
 		for _, m := range w.net {
-			net = append(net, underWay{proto.Clone(m).(*pb.RaftMessage), tick + oneWay})
+			net = append(net, delayedMessage{proto.Clone(m).(*pb.RaftMessage), tick + oneWay})
 		}
 		w.net = nil
 		for _, id := range w.order {
@@ -78,8 +78,8 @@
 		"first one late":  {"s0": 8, "s1": 0, "s2": 3, "s3": 5, "s4": 6},
 		"first one soon":  {"s0": 0, "s1": 6, "s2": 7, "s3": 8, "s4": 4},
 		"last ones late":  {"s0": 0, "s1": 0, "s2": 0, "s3": 8, "s4": 8},
-		"two are lost":    {"s0": never, "s1": never, "s2": 0, "s3": 4, "s4": 8},
-		"others are lost": {"s0": 0, "s1": 4, "s2": never, "s3": 8, "s4": never},
+		"two are lost":    {"s0": neverStarts, "s1": neverStarts, "s2": 0, "s3": 4, "s4": 8},
+		"others are lost": {"s0": 0, "s1": 4, "s2": neverStarts, "s3": 8, "s4": neverStarts},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const third = 8 // at most
@@ -100,7 +100,7 @@
 // leases again and again: it stands at once each time, and neither the leader nor the
 // term changes.
 func TestRestartDoesNotDisturbALeader(t *testing.T) {
-	w := newWorldLeases(1, 3, breakage{}, true)
+	w := newSimulationLeases(1, 3, disabledMechanisms{}, true)
 	w.elect("s0")
 	w.tickAll(3)
 	term := w.servers["s0"].node.Term()
--- a/internal/core/consensus/staleness_test.go
+++ b/internal/core/consensus/staleness_test.go
@@ -15,7 +15,7 @@
 func TestCutOffReplicaIsNotCurrent(t *testing.T) {
 	for _, cut := range []string{"s0", "s1", "s2"} {
 		t.Run(cut, func(t *testing.T) {
-			w := newWorldLeases(1, 3, breakage{}, true)
+			w := newSimulationLeases(1, 3, disabledMechanisms{}, true)
 			w.elect("s0")
 			w.tickAll(5)
 			w.cut = map[string]int{cut: 1}
@@ -25,16 +25,16 @@
 			if got := w.servers[cut].node.CurrentAsOf(); got > at {
 				t.Errorf("cut off at tick %d, it vouches for tick %d", at, got)
 			}
-			w.eachCurrent(t, cut)
+			w.checkCurrent(t, cut)
 			w.cut = map[string]int{}
 			w.tickAll(30)
-			w.eachCurrent(t, "")
+			w.checkCurrent(t, "")
 		})
 	}
 }
 
-// eachCurrent checks that all replicas but one were current within an election timeout.
-func (w *world) eachCurrent(t *testing.T, but string) {
+// checkCurrent checks that all replicas but one were current within an election timeout.
+func (w *simulation) checkCurrent(t *testing.T, but string) {
 	t.Helper()
 	for _, id := range w.order {
 		n := w.servers[id].node
@@ -47,7 +47,7 @@
 // TestFollowerThatCatchesUpIsNotCurrent lets a follower miss changes and then hear
 // heartbeats only: it must not vouch for its state before it has applied what it missed.
 func TestFollowerThatCatchesUpIsNotCurrent(t *testing.T) {
-	w := newWorldLeases(1, 3, breakage{}, true)
+	w := newSimulationLeases(1, 3, disabledMechanisms{}, true)
 	w.elect("s0")
 	w.tickAll(5)
 	leader, behind := w.servers["s0"], w.servers["s2"]
@@ -73,5 +73,5 @@
 		}
 	}
 	w.tickAll(10)
-	w.eachCurrent(t, "")
+	w.checkCurrent(t, "")
 }
--- a/internal/core/consensus/world_test.go
+++ b/internal/core/consensus/world_test.go
@@ -12,15 +12,15 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// breakage switches one mechanism off, from outside the product code.
-type breakage struct {
+// disabledMechanisms switches one mechanism off, from outside the product code.
+type disabledMechanisms struct {
 	sync     bool // messages leave before the log is durable, and crashes lose it
 	vote     bool // a restarted replica forgets its vote
 	identity bool // a replica with an empty disk keeps its identity
 	reads    bool // a leader answers reads without asking a majority
 }
 
-const record = `{"schema_version":2,"note":%q,"regions":[{"name":"r","failure_domains":["f"]}],
+const recordTemplate = `{"schema_version":2,"note":%q,"regions":[{"name":"r","failure_domains":["f"]}],
 "hosts":[{"id":"h","region":"r","failure_domain":"f","peer":"127.0.0.1:1","caller":"http://127.0.0.1:2"}],
 "operators":[{"name":"o","key_hashes":["aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"]}]}`
 
@@ -78,58 +78,60 @@
 	ret  int64 // 0 while under way
 }
 
-type world struct {
-	rnd    *rand.Rand
-	broken breakage
+type simulation struct {
+	rnd      *rand.Rand
+	disabled disabledMechanisms
 	// noLeases lets replicas vote and stand as soon as they start.
-	noLeases bool
-	clock    int64
-	servers  map[string]*server
-	order    []string
-	first    []*pb.RaftMember
-	net      []*pb.RaftMessage
-	cut      map[string]int // partition of each server
-	ops      []operation
-	leaders  map[uint64]string
-	applied  map[uint64]string
-	nextID   int
-	faults   []string // violations of invariants seen on the way
-}
-
-func newWorld(seed int64, n int, b breakage) *world { return newWorldLeases(seed, n, b, false) }
-
-func newWorldLeases(seed int64, n int, b breakage, noLeases bool) *world {
-	w := &world{
-		rnd: rand.New(rand.NewSource(seed)), broken: b, noLeases: noLeases, servers: map[string]*server{}, cut: map[string]int{},
+	noLeases       bool
+	clock          int64
+	servers        map[string]*server
+	order          []string
+	initialMembers []*pb.RaftMember
+	net            []*pb.RaftMessage
+	cut            map[string]int // partition of each server
+	ops            []operation
+	leaders        map[uint64]string
+	applied        map[uint64]string
+	nextID         int
+	violations     []string // violations of invariants seen on the way
+}
+
+func newSimulation(seed int64, n int, b disabledMechanisms) *simulation {
+	return newSimulationLeases(seed, n, b, false)
+}
+
+func newSimulationLeases(seed int64, n int, b disabledMechanisms, noLeases bool) *simulation {
+	w := &simulation{
+		rnd: rand.New(rand.NewSource(seed)), disabled: b, noLeases: noLeases, servers: map[string]*server{}, cut: map[string]int{},
 		leaders: map[uint64]string{}, applied: map[uint64]string{},
 	}
 	for i := range n {
-		w.first = append(w.first, &pb.RaftMember{Id: fmt.Sprintf("s%d", i), Address: "a"})
+		w.initialMembers = append(w.initialMembers, &pb.RaftMember{Id: fmt.Sprintf("s%d", i), Address: "a"})
 	}
-	for _, m := range w.first {
+	for _, m := range w.initialMembers {
 		w.add(m.Id)
 	}
 	return w
 }
 
-func (w *world) add(id string) *server {
-	s := &server{id: id, disk: disk{snap: Snapshot{Members: &pb.RaftMembers{Members: w.first}}}}
+func (w *simulation) add(id string) *server {
+	s := &server{id: id, disk: disk{snap: Snapshot{Members: &pb.RaftMembers{Members: w.initialMembers}}}}
 	w.servers[id] = s
 	w.order = append(w.order, id)
 	w.boot(s)
 	return s
 }
 
-func (w *world) boot(s *server) {
+func (w *simulation) boot(s *server) {
 	hard := s.disk.hard
-	if w.broken.vote && hard != nil {
+	if w.disabled.vote && hard != nil {
 		hard = &pb.HardState{Term: hard.Term, Commit: hard.Commit}
 	}
 	s.node = New(Options{
 		ID: s.id, ElectionTicks: 10, Seed: w.rnd.Int63(), ChunkBytes: 256, MaxBatchBytes: 600, MaxInflight: 4,
 		HardState: hard, Snapshot: s.disk.snap, Entries: slices.Clone(s.disk.entries), NoLeases: w.noLeases,
 	})
-	if w.broken.vote {
+	if w.disabled.vote {
 		s.node.restarted = false
 	}
 	s.machine = configstate.NewMachine(1)
@@ -139,24 +141,24 @@
 	s.up, s.waiting, s.reads = true, map[uint64]pending{}, map[uint64]int{}
 }
 
-func (w *world) tickTime() int64 { w.clock++; return w.clock }
+func (w *simulation) nextTimestamp() int64 { w.clock++; return w.clock }
 
 // crash ends a replica; the clients it served learn nothing.
-func (w *world) crash(s *server) { s.up, s.unsynced = false, nil }
+func (w *simulation) crash(s *server) { s.up, s.unsynced = false, nil }
 
 // process carries out a replica's actions. With half, the replica crashes after
 // they are durable and before any message leaves.
-func (w *world) process(s *server, half bool) {
+func (w *simulation) process(s *server, crashBeforeSend bool) {
 	for s.up {
 		rd := s.node.Ready()
 		if rd.Empty() {
 			return
 		}
 		s.unsynced = append(s.unsynced, rd)
-		if !w.broken.sync || w.rnd.Float64() < 0.05 {
+		if !w.disabled.sync || w.rnd.Float64() < 0.05 {
 			w.persist(s)
 		}
-		if half {
+		if crashBeforeSend {
 			w.crash(s)
 			return
 		}
@@ -168,7 +170,7 @@
 	}
 }
 
-func (w *world) persist(s *server) {
+func (w *simulation) persist(s *server) {
 	for _, rd := range s.unsynced {
 		if rd.HardState != nil {
 			s.disk.hard = rd.HardState
@@ -181,7 +183,7 @@
 	s.unsynced = nil
 }
 
-func (w *world) apply(s *server, rd Ready) {
+func (w *simulation) apply(s *server, rd Ready) {
 	if rd.Snapshot != nil {
 		_ = s.machine.Restore(rd.Snapshot.Data)
 	}
@@ -190,28 +192,28 @@
 		w.applyEntry(s, e)
 	}
 	if s.machine.Version() < before {
-		w.faults = append(w.faults, s.id+": the version went back")
+		w.violations = append(w.violations, s.id+": the version went back")
 	}
 	for _, r := range rd.Reads {
 		if op, ok := s.reads[r.ID]; ok && r.OK {
-			w.finish(op, answer{known: true, current: s.machine.Version()})
+			w.complete(op, answer{known: true, current: s.machine.Version()})
 		}
 	}
 	st := s.node.Status()
 	if st.Role == Leader {
 		if other, ok := w.leaders[st.Term]; ok && other != s.id {
-			w.faults = append(w.faults, fmt.Sprintf("term %d has leaders %s and %s", st.Term, other, s.id))
+			w.violations = append(w.violations, fmt.Sprintf("term %d has leaders %s and %s", st.Term, other, s.id))
 		}
 		w.leaders[st.Term] = s.id
 	}
 }
 
-func (w *world) applyEntry(s *server, e *pb.RaftEntry) {
-	print := fmt.Sprintf("%d %x", e.Term, e.Data)
-	if old, ok := w.applied[e.Index]; ok && old != print {
-		w.faults = append(w.faults, fmt.Sprintf("entry %d was applied with two contents", e.Index))
+func (w *simulation) applyEntry(s *server, e *pb.RaftEntry) {
+	content := fmt.Sprintf("%d %x", e.Term, e.Data)
+	if old, ok := w.applied[e.Index]; ok && old != content {
+		w.violations = append(w.violations, fmt.Sprintf("entry %d was applied with two contents", e.Index))
 	}
-	w.applied[e.Index] = print
+	w.applied[e.Index] = content
 	var res configstate.Result
 	if EntryType(e.Type) == EntryNormal && len(e.Data) > 0 {
 		c := new(pb.Command)
@@ -221,19 +223,19 @@
 	if p, ok := s.waiting[e.Index]; ok {
 		delete(s.waiting, e.Index)
 		if p.term == e.Term {
-			w.finish(p.op, answer{known: true, version: res.Version, current: res.Current})
+			w.complete(p.op, answer{known: true, version: res.Version, current: res.Current})
 		}
 	}
 }
 
-func (w *world) finish(op int, a answer) {
+func (w *simulation) complete(op int, a answer) {
 	if w.ops[op].ret == 0 {
-		w.ops[op].out, w.ops[op].ret = a, w.tickTime()
+		w.ops[op].out, w.ops[op].ret = a, w.nextTimestamp()
 	}
 }
 
 // propose sends a change to a replica. Half of them resend an earlier change.
-func (w *world) propose(s *server) {
+func (w *simulation) propose(s *server) {
 	in := request{base: s.machine.Version(), id: fmt.Sprintf("c%d", w.nextID)}
 	if w.rnd.Float64() < 0.3 {
 		in.base = uint64(max(0, int(in.base)-1))
@@ -245,8 +247,8 @@
 		return
 	}
 	w.nextID++
-	data, _ := proto.Marshal(&pb.Command{BaseVersion: in.base, ChangeId: in.id, Record: fmt.Appendf(nil, record, in.id)})
-	call := w.tickTime()
+	data, _ := proto.Marshal(&pb.Command{BaseVersion: in.base, ChangeId: in.id, Record: fmt.Appendf(nil, recordTemplate, in.id)})
+	call := w.nextTimestamp()
 	index, term, err := s.node.Propose(data)
 	if err != nil {
 		return
@@ -255,12 +257,12 @@
 	s.waiting[index] = pending{term, len(w.ops) - 1}
 }
 
-func (w *world) read(s *server) {
-	call := w.tickTime()
+func (w *simulation) read(s *server) {
+	call := w.nextTimestamp()
 	id := uint64(len(w.ops)) + 1
-	if w.broken.reads && s.node.Status().Role == Leader {
+	if w.disabled.reads && s.node.Status().Role == Leader {
 		w.ops = append(w.ops, operation{in: request{read: true}, call: call})
-		w.finish(len(w.ops)-1, answer{known: true, current: s.machine.Version()})
+		w.complete(len(w.ops)-1, answer{known: true, current: s.machine.Version()})
 		return
 	}
 	if err := s.node.ReadIndex(id); err != nil {
@@ -272,10 +274,10 @@
 
 // replaceLost wipes a replica's disk. It comes back under a new identity, and
 // some leader is asked for the steps of the replacement until it is a voter.
-func (w *world) replaceLost(s *server) {
+func (w *simulation) replaceLost(s *server) {
 	w.crash(s)
-	if w.broken.identity {
-		s.disk = disk{snap: Snapshot{Members: &pb.RaftMembers{Members: w.first}}}
+	if w.disabled.identity {
+		s.disk = disk{snap: Snapshot{Members: &pb.RaftMembers{Members: w.initialMembers}}}
 		w.boot(s)
 		return
 	}
@@ -287,7 +289,7 @@
 
 // repair proposes the next membership step at a leader: add a learner, promote
 // it, or remove a voter that is gone.
-func (w *world) repair(s *server) {
+func (w *simulation) repair(s *server) {
 	next := proto.Clone(s.node.Status().Members).(*pb.RaftMembers)
 	known := map[string]bool{}
 	for _, m := range next.Members {
@@ -314,10 +316,10 @@
 	}
 }
 
-func (w *world) pick() *server { return w.servers[w.order[w.rnd.Intn(len(w.order))]] }
+func (w *simulation) pick() *server { return w.servers[w.order[w.rnd.Intn(len(w.order))]] }
 
 // run plays a schedule: faults for the given steps, then a calm end.
-func (w *world) run(steps int, disks int) {
+func (w *simulation) run(steps int, diskLosses int) {
 	for i := range steps {
 		x := w.rnd.Float64()
 		s := w.pick()
@@ -328,8 +330,8 @@
 			w.cut = map[string]int{}
 		case x < 0.010 && s.up:
 			w.crash(s)
-		case x < 0.011 && disks > 0 && w.downCount() == 0:
-			disks--
+		case x < 0.011 && diskLosses > 0 && w.downCount() == 0:
+			diskLosses--
 			w.replaceLost(s)
 		case x < 0.04:
 			if !s.up {
@@ -351,10 +353,10 @@
 		}
 		w.process(s, i%397 == 0)
 	}
-	w.calm()
+	w.healAndFinish()
 }
 
-func (w *world) downCount() int {
+func (w *simulation) downCount() int {
 	down := 0
 	for _, s := range w.servers {
 		if !s.up {
@@ -364,13 +366,13 @@
 	return down
 }
 
-func (w *world) partition() {
+func (w *simulation) partition() {
 	for _, id := range w.order {
 		w.cut[id] = w.rnd.Intn(2)
 	}
 }
 
-func (w *world) compact(s *server) {
+func (w *simulation) compact(s *server) {
 	at := s.node.Status().Applied
 	data := s.machine.Snapshot()
 	if at == 0 || at <= s.disk.snap.Index {
@@ -384,7 +386,7 @@
 }
 
 // deliver hands over, repeats or drops one message.
-func (w *world) deliver() {
+func (w *simulation) deliver() {
 	if len(w.net) == 0 {
 		return
 	}
@@ -401,8 +403,8 @@
 	w.process(to, false)
 }
 
-// calm heals everything and lets the group finish.
-func (w *world) calm() {
+// healAndFinish heals everything and lets the group finish.
+func (w *simulation) healAndFinish() {
 	w.cut = map[string]int{}
 	for _, id := range w.order {
 		if s := w.servers[id]; !s.up {
@@ -478,7 +480,7 @@
 // history returns the operations for the checker. One without an answer may
 // take effect at any time after its call, or never: it is given both ways by
 // ending after everything else.
-func (w *world) history() []porcupine.Operation {
+func (w *simulation) history() []porcupine.Operation {
 	var out []porcupine.Operation
 	for i, o := range w.ops {
 		if o.ret == 0 && o.in.read {
@@ -494,9 +496,9 @@
 }
 
 // violation says what the schedule broke, or "".
-func (w *world) violation() string {
-	if len(w.faults) > 0 {
-		return w.faults[0]
+func (w *simulation) violation() string {
+	if len(w.violations) > 0 {
+		return w.violations[0]
 	}
 	if !porcupine.CheckOperations(register, w.history()) {
 		return "the history is not linearizable"
@@ -504,8 +506,8 @@
 	return ""
 }
 
-// answered counts the changes that were accepted and answered.
-func (w *world) answered() int {
+// acceptedChanges counts the changes that were accepted and acceptedChanges.
+func (w *simulation) acceptedChanges() int {
 	n := 0
 	for _, o := range w.ops {
 		if o.out.version > 0 {
