--- a/internal/core/consensus/consensus_test.go
+++ b/internal/core/consensus/consensus_test.go
@@ -13,7 +13,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// schedules returns the number of schedules of a check; SESAME_SOAK multiplies it.
+// schedules returns n multiplied by the environment variable SESAME_SOAK, if set.
 func schedules(n int) int {
 	if f, err := strconv.Atoi(os.Getenv("SESAME_SOAK")); err == nil {
 		return n * f
@@ -21,162 +21,167 @@
 	return n
 }
 
-func runSchedules(n, count int, b disabledMechanisms) (first string, bad, accepted int) {
-	return runSchedulesLeases(n, count, b, false)
+// runSchedules runs schedules with seeds from 0 in a group of n replicas with leases. It
+// returns the first violation, the number of schedules with one, and the number of accepted
+// changes.
+func runSchedules(n, count int, disabled disabledMechanisms) (firstViolation string, bad, accepted int) {
+	return runSchedulesLeases(n, count, disabled, false)
 }
 
-func runSchedulesLeases(n, count int, b disabledMechanisms, noLeases bool) (first string, bad, accepted int) {
+func runSchedulesLeases(n, count int, disabled disabledMechanisms, noLeases bool) (firstViolation string, bad, accepted int) {
 	for seed := range int64(count) {
-		w := newSimulationLeases(seed, n, b, noLeases)
-		w.run(4000, int(seed%3))
-		accepted += w.acceptedChanges()
-		if v := w.violation(); v != "" {
+		sim := newSimulationLeases(seed, n, disabled, noLeases)
+		sim.run(4000, int(seed%3))
+		accepted += sim.acceptedChanges()
+		if v := sim.violation(); v != "" {
 			bad++
-			if first == "" {
-				first = fmt.Sprintf("seed %d: %s", seed, v)
+			if firstViolation == "" {
+				firstViolation = fmt.Sprintf("seed %d: %s", seed, v)
 			}
 		}
 	}
-	return first, bad, accepted
+	return firstViolation, bad, accepted
 }
 
-// TestLinearizableOnRandomSchedules plays schedules of crashes, lost disks,
-// partitions, dropped, repeated and reordered messages, membership changes and
-// snapshots: the configuration register stays linearizable, no accepted version
-// is lost, and no term has two leaders.
+// TestLinearizableOnRandomSchedules runs schedules of crashes, lost disks,
+// network partitions, dropped, duplicated and reordered messages, membership
+// changes and snapshots. The configuration register must stay linearizable, no
+// accepted version may be lost, and no term may have two leaders.
 func TestLinearizableOnRandomSchedules(t *testing.T) {
 	for _, noLeases := range []bool{false, true} {
 		for _, n := range []int{3, 5} {
 			count := schedules(150)
 			first, bad, accepted := runSchedulesLeases(n, count, disabledMechanisms{}, noLeases)
-			t.Logf("%d replicas, no leases %v: %d schedules, %d changes accepted, %d broken", n, noLeases, count, accepted, bad)
+			t.Logf("%d replicas, no leases %v: %d schedules, %d changes accepted, %d schedules with violations", n, noLeases, count, accepted, bad)
 			if bad > 0 {
-				t.Errorf("%d replicas: %d of %d schedules broken; first: %s", n, bad, count, first)
+				t.Errorf("%d replicas: %d of %d schedules with violations; first: %s", n, bad, count, first)
 			}
 			if accepted < 2*count {
-				t.Errorf("%d replicas: only %d changes accepted in %d schedules; the check sees too little", n, accepted, count)
+				t.Errorf("%d replicas: only %d changes accepted in %d schedules, too few for a meaningful check", n, accepted, count)
 			}
 		}
 	}
 }
 
-// TestChecksSeeBrokenMechanisms switches off one mechanism at a time: the same
-// schedules must then break a promise.
+// TestChecksSeeBrokenMechanisms disables one safety mechanism at a time: the same
+// schedules must then cause violations, which shows that the checks detect them.
 func TestChecksSeeBrokenMechanisms(t *testing.T) {
 	for name, c := range map[string]struct {
-		broken disabledMechanisms
-		count  int
+		disabled disabledMechanisms
+		count    int
 	}{
 		"sync":     {disabledMechanisms{sync: true}, 30},
 		"identity": {disabledMechanisms{identity: true}, 100},
 		"reads":    {disabledMechanisms{reads: true}, 1200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			first, bad, _ := runSchedules(3, c.count, c.broken)
-			t.Logf("%d of %d schedules broken; first: %s", bad, c.count, first)
+			first, bad, _ := runSchedules(3, c.count, c.disabled)
+			t.Logf("%d of %d schedules with violations; first: %s", bad, c.count, first)
 			if bad == 0 {
-				t.Error("no schedule broke a promise without the mechanism")
+				t.Error("no schedule had a violation with the mechanism disabled")
 			}
 		})
 	}
 }
 
-// group returns n replicas without faults in the way.
+// group returns a simulation of n replicas with no mechanism disabled.
 func group(n int) *simulation { return newSimulation(1, n, disabledMechanisms{}) }
 
-// deliverAll delivers all messages in order until none is left.
-func (w *simulation) deliverAll() {
-	for len(w.net) > 0 {
-		m := w.net[0]
-		w.net = w.net[1:]
-		if to := w.servers[m.To]; to != nil && to.up && w.cut[m.From] == w.cut[m.To] {
+// deliverAll delivers messages in order until none is left; those to a stopped or partitioned
+// replica are lost.
+func (sim *simulation) deliverAll() {
+	for len(sim.net) > 0 {
+		m := sim.net[0]
+		sim.net = sim.net[1:]
+		if to := sim.servers[m.To]; to != nil && to.running && sim.cut[m.From] == sim.cut[m.To] {
 			to.node.Step(m)
-			w.process(to, false)
+			sim.process(to, false)
 		}
 	}
 }
 
-// elect lets the replica campaign and win.
-func (w *simulation) elect(id string) *server {
-	s := w.servers[id]
+// elect lets a replica campaign and delivers all messages, so that it becomes leader.
+func (sim *simulation) elect(id string) *server {
+	s := sim.servers[id]
 	s.node.campaign(PreCandidate)
-	w.process(s, false)
-	w.deliverAll()
+	sim.process(s, false)
+	sim.deliverAll()
 	return s
 }
 
-func (w *simulation) tickAll(n int) {
+func (sim *simulation) tickAll(n int) {
 	for range n {
-		for _, id := range w.order {
-			w.servers[id].node.Tick()
-			w.process(w.servers[id], false)
+		for _, id := range sim.order {
+			sim.servers[id].node.Tick()
+			sim.process(sim.servers[id], false)
 		}
-		w.deliverAll()
+		sim.deliverAll()
 	}
 }
 
-// TestVoteSurvivesRestart elects a leader with one vote beside its own, restarts
-// the voter, and lets the third replica ask it for the same term's vote.
+// TestVoteSurvivesRestart elects a leader with its own vote and one other, restarts
+// the other voter, and lets the third replica request its vote in the same term.
+// Without a durable vote, the term gets two leaders.
 func TestVoteSurvivesRestart(t *testing.T) {
 	leaders := func(b disabledMechanisms) int {
-		w := newSimulation(1, 3, b)
-		w.cut = map[string]int{"s2": 1}
-		w.servers["s0"].node.campaign(Candidate)
-		w.process(w.servers["s0"], false)
-		for len(w.net) > 0 && MessageType(w.net[0].Type) <= MsgVoteReply {
-			m := w.net[0]
-			w.net = w.net[1:]
-			if w.cut[m.To] == 0 {
-				w.servers[m.To].node.Step(m)
-				w.process(w.servers[m.To], false)
+		sim := newSimulation(1, 3, b)
+		sim.cut = map[string]int{"s2": 1}
+		sim.servers["s0"].node.campaign(Candidate)
+		sim.process(sim.servers["s0"], false)
+		for len(sim.net) > 0 && MessageType(sim.net[0].Type) <= MsgVoteReply {
+			m := sim.net[0]
+			sim.net = sim.net[1:]
+			if sim.cut[m.To] == 0 {
+				sim.servers[m.To].node.Step(m)
+				sim.process(sim.servers[m.To], false)
 			}
 		}
-		w.net = nil // s1 voted and has no entry of the new leader
-		w.crash(w.servers["s1"])
-		w.boot(w.servers["s1"])
-		w.servers["s1"].node.tick = 100 // past the silence after a restart
-		w.cut = map[string]int{"s0": 1}
-		w.servers["s2"].node.campaign(Candidate) // of term 1: it never heard of the leader
-		w.process(w.servers["s2"], false)
-		w.deliverAll()
-		return len(w.violations)
+		sim.net = nil // s1 voted and has no entry of the new leader
+		sim.crash(sim.servers["s1"])
+		sim.boot(sim.servers["s1"])
+		sim.servers["s1"].node.tick = 100 // past the election timeout after a restart, in which it ignores vote requests
+		sim.cut = map[string]int{"s0": 1}
+		sim.servers["s2"].node.campaign(Candidate) // in term 1, as it received no message of the leader
+		sim.process(sim.servers["s2"], false)
+		sim.deliverAll()
+		return len(sim.violations)
 	}
 	if leaders(disabledMechanisms{}) != 0 {
 		t.Error("two leaders in one term")
 	}
 	if leaders(disabledMechanisms{vote: true}) == 0 {
-		t.Error("without the vote on disk the term must get two leaders")
+		t.Error("no second leader in the term although the vote is not durable; the test does not detect the failure")
 	}
 }
 
 func TestReturningReplicaDoesNotDisturb(t *testing.T) {
-	w := group(3)
-	s0 := w.elect("s0")
-	w.cut = map[string]int{"s2": 1}
-	w.tickAll(500)
+	sim := group(3)
+	s0 := sim.elect("s0")
+	sim.cut = map[string]int{"s2": 1}
+	sim.tickAll(500)
 	term := s0.node.term
-	if got := w.servers["s2"].node.term; got != term {
-		t.Errorf("the cut-off replica's term rose to %d, want %d: pre-vote must not raise it", got, term)
+	if got := sim.servers["s2"].node.term; got != term {
+		t.Errorf("the partitioned replica's term rose to %d, want %d: pre-vote must not raise it", got, term)
 	}
-	w.cut = map[string]int{}
-	w.tickAll(30)
+	sim.cut = map[string]int{}
+	sim.tickAll(30)
 	if s0.node.term != term || s0.node.role != Leader {
-		t.Errorf("term %d role %s after the return, want %d leader", s0.node.term, s0.node.role, term)
+		t.Errorf("term %d role %s after the partition, want %d leader", s0.node.term, s0.node.role, term)
 	}
 }
 
 func TestLeaderWithoutMajorityLosesLeaseBeforeOthersElect(t *testing.T) {
-	w := group(3)
-	old := w.elect("s0")
-	w.tickAll(2)
+	sim := group(3)
+	old := sim.elect("s0")
+	sim.tickAll(2)
 	if old.node.LeaseTicks() == 0 {
-		t.Fatal("a leader in touch has no lease")
+		t.Fatal("a leader with quorum contact has no lease")
 	}
-	w.cut = map[string]int{"s0": 1}
+	sim.cut = map[string]int{"s0": 1}
 	for range 60 {
-		w.tickAll(1)
+		sim.tickAll(1)
 		for _, id := range []string{"s1", "s2"} {
-			if w.servers[id].node.role == Leader && old.node.LeaseTicks() > 0 {
+			if sim.servers[id].node.role == Leader && old.node.LeaseTicks() > 0 {
 				t.Fatal("two replicas hold a lease")
 			}
 		}
@@ -185,7 +190,7 @@
 		t.Error("a leader without a majority did not step down")
 	}
 	if err := old.node.ReadIndex(1); !failure.Is(err, failure.NoLeader) {
-		t.Errorf("a replica without lease answered a read: %v", err)
+		t.Errorf("a replica without a lease accepted a read: %v", err)
 	}
 }
 
@@ -204,24 +209,24 @@
 		want failure.Code
 	}{
 		{"two voters at once", nil, members("s0"), failure.UnsafeMembership},
-		{"a voter that was no learner", nil, members("s0", "s1", "s2", "new"), failure.UnsafeMembership},
-		{"no majority caught up", func(w *simulation) { w.cut["s1"], w.cut["s2"] = 1, 1; w.servers["s0"].node.tick += 100 }, members("s0", "s1"), failure.UnsafeMembership},
-		{"another change under way", func(w *simulation) {
-			w.cut["s1"], w.cut["s2"] = 1, 1
-			next := proto.Clone(w.servers["s0"].node.members).(*pb.RaftMembers)
+		{"a new voter that was not a learner before", nil, members("s0", "s1", "s2", "new"), failure.UnsafeMembership},
+		{"no majority caught up", func(sim *simulation) { sim.cut["s1"], sim.cut["s2"] = 1, 1; sim.servers["s0"].node.tick += 100 }, members("s0", "s1"), failure.UnsafeMembership},
+		{"another change not committed", func(sim *simulation) {
+			sim.cut["s1"], sim.cut["s2"] = 1, 1
+			next := proto.Clone(sim.servers["s0"].node.members).(*pb.RaftMembers)
 			next.Members = append(next.Members, &pb.RaftMember{Id: "l", Learner: true})
-			if _, _, err := w.servers["s0"].node.ProposeMembers(next); err != nil {
+			if _, _, err := sim.servers["s0"].node.ProposeMembers(next); err != nil {
 				panic(err)
 			}
 		}, members("s0", "s1", "s2"), failure.MembershipPending},
-		{"one voter less", nil, members("s0", "s1"), ""},
+		{"removal of one voter", nil, members("s0", "s1"), ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := group(3)
-			s := w.elect("s0")
-			w.tickAll(3)
+			sim := group(3)
+			s := sim.elect("s0")
+			sim.tickAll(3)
 			if c.prep != nil {
-				c.prep(w)
+				c.prep(sim)
 			}
 			_, _, err := s.node.ProposeMembers(c.next)
 			if c.want == "" && err != nil || c.want != "" && !failure.Is(err, c.want) {
@@ -233,8 +238,8 @@
 
 func TestSurvivableLosses(t *testing.T) {
 	for _, c := range []struct {
-		group     string // as groupOf takes it; ! is a replica that is not caught up
-		committed string // the members before a change that is not committed
+		group     string // members in the notation of statusOf
+		committed string // members before a change that is not committed; "" for none
 		want      int
 	}{
 		{"a b c", "", 1},
@@ -256,15 +261,15 @@
 	}
 }
 
-// TestRemovalUnderWayIsNoRepairYet proposes the removal of a lost voter and loses
-// the leader before another voter has the entry. The others are left with four
-// voters of which two are gone, so the status must not have called a loss bearable.
+// TestRemovalUnderWayIsNoRepairYet proposes the removal of a lost voter. If the leader
+// is lost before another voter has the entry, two of four voters are lost and the
+// group has no majority, so until the commit no loss may be reported as survivable.
 func TestRemovalUnderWayIsNoRepairYet(t *testing.T) {
-	w := group(4)
-	s := w.elect("s0")
-	w.tickAll(3)
-	w.crash(w.servers["s3"])
-	w.tickAll(12)
+	sim := group(4)
+	s := sim.elect("s0")
+	sim.tickAll(3)
+	sim.crash(sim.servers["s3"])
+	sim.tickAll(12)
 	next := &pb.RaftMembers{}
 	for _, m := range s.node.members.Members {
 		if m.Id != "s3" {
@@ -277,21 +282,23 @@
 	if got := SurvivableLosses(s.node.Status()); got != 0 {
 		t.Errorf("%d losses survivable while the removal is not committed, want 0", got)
 	}
-	w.process(s, false)
-	w.tickAll(3)
+	sim.process(s, false)
+	sim.tickAll(3)
 	if got := SurvivableLosses(s.node.Status()); got != 1 {
 		t.Errorf("%d losses survivable once it is committed, want 1", got)
 	}
 }
 
-// TestHeartbeatsOvertakeALargeAppend lets heartbeats be answered while an append
-// is still on its way, as a large one is between regions. It must not be sent
-// again for that, and must be sent again once it is surely lost.
+// TestHeartbeatsOvertakeALargeAppend answers heartbeats while an append is still in
+// transit, as happens with a large one between regions. The append must not be sent
+// again before resendRounds later heartbeats have been answered, and must be sent
+// again after that.
 func TestHeartbeatsOvertakeALargeAppend(t *testing.T) {
 	members := &pb.RaftMembers{Members: []*pb.RaftMember{{Id: "a", Address: "a"}, {Id: "b", Address: "b"}}}
 	a := New(Options{ID: "a", ElectionTicks: 10, HeartbeatTicks: 1, Seed: 1, Snapshot: Snapshot{Members: members}})
 	b := New(Options{ID: "b", ElectionTicks: 10, HeartbeatTicks: 1, Seed: 99, Snapshot: Snapshot{Members: members}})
-	// deliver exchanges messages until there are none; held appends are counted and dropped.
+	// deliver exchanges messages until there are none. While hold is set, it counts and
+	// drops appends with entries.
 	held, hold := 0, false
 	deliver := func() {
 		for {
@@ -328,17 +335,17 @@
 		t.Fatal(err)
 	}
 	deliver()
-	const rounds = 4 // answered heartbeats that may overtake it
+	const rounds = 4 // answered heartbeats that may overtake the append
 	for range rounds {
 		a.Tick()
 		deliver()
 	}
 	if held != 1 {
-		t.Errorf("sent %d times while it may be on its way", held)
+		t.Errorf("append sent %d times while it may be in transit, want once", held)
 	}
 	a.Tick()
 	deliver()
 	if held != 2 {
-		t.Errorf("sent %d times, want once more after %d heartbeats", held, rounds)
+		t.Errorf("append sent %d times, want twice after more than %d answered heartbeats", held, rounds)
 	}
 }
--- a/internal/core/consensus/repair.go
+++ b/internal/core/consensus/repair.go
@@ -169,8 +169,9 @@
 	return best
 }
 
-// preferred reports whether a learner is the preferred voter than another: its place has fewer
-// voters; at equal places one that is caught up.
+// preferred reports whether learner id is preferred to learner than as a voter: its location
+// is known, its region or then its failure domain has fewer voters, or, if these are equal, it
+// alone is caught up.
 func (g *groupView) preferred(id, than string) bool {
 	a, knownA := g.location[id]
 	b, knownB := g.location[than]
--- a/internal/core/consensus/repair_test.go
+++ b/internal/core/consensus/repair_test.go
@@ -8,8 +8,9 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// statusOf builds a leader's status: a name is a voter, name? a learner, name! one
-// that is not caught up. Every address is the name's part before a dot.
+// statusOf returns the status of a leader, the first of the named members. A plain
+// name is a voter, "name?" a learner, and "!" at the end marks a member that is not
+// caught up. A member's address is the part of its name before the dot.
 func statusOf(names ...string) Status {
 	st := Status{ID: strings.TrimRight(names[0], "?!"), Role: Leader, Members: &pb.RaftMembers{}}
 	for _, n := range names {
@@ -26,7 +27,7 @@
 	return host
 }
 
-// describe names the members; learners end with a question mark.
+// describe lists the members' names; learners end with a question mark.
 func describe(m *pb.RaftMembers) string {
 	if m == nil {
 		return "nothing"
@@ -44,26 +45,26 @@
 
 func TestNextMembers(t *testing.T) {
 	cases := []struct {
-		name   string
-		group  []string
-		live   string // stores heard lately
-		silent string // members that do not answer for long
-		want   string
+		name       string
+		group      []string
+		live       string // live stores
+		unanswered string // members that have not answered for longer than LostAfter
+		want       string
 	}{
 		{"complete", []string{"a.0", "b.0", "c.0"}, "a.0 b.0 c.0", "", "nothing"},
-		{"one is silent, nobody to replace it", []string{"a.0", "b.0", "c.0"}, "a.0 b.0", "c.0", "nothing"},
-		{"a store appears", []string{"a.0", "b.0", "c.0"}, "a.0 b.0 c.0 d.1", "", "a.0 b.0 c.0 d.1?"},
-		{"stores appear", []string{"a.0", "b.0", "c.0"}, "a.0 b.0 c.0 d.1 e.1", "", "a.0 b.0 c.0 d.1? e.1?"},
+		{"one does not answer, no learner to replace it", []string{"a.0", "b.0", "c.0"}, "a.0 b.0", "c.0", "nothing"},
+		{"a new store joins", []string{"a.0", "b.0", "c.0"}, "a.0 b.0 c.0 d.1", "", "a.0 b.0 c.0 d.1?"},
+		{"new stores join", []string{"a.0", "b.0", "c.0"}, "a.0 b.0 c.0 d.1 e.1", "", "a.0 b.0 c.0 d.1? e.1?"},
 		{"lost folder: the new store joins", []string{"a.0", "b.0", "c.0"}, "a.0 b.0 c.1", "", "a.0 b.0 c.0 c.1?"},
-		{"lost folder: not before it is caught up", []string{"a.0", "b.0", "c.0", "c.1?!"}, "a.0 b.0 c.1", "", "nothing"},
+		{"lost folder: no promotion before it is caught up", []string{"a.0", "b.0", "c.0", "c.1?!"}, "a.0 b.0 c.1", "", "nothing"},
 		{"lost folder: add before remove", []string{"a.0", "b.0", "c.0", "c.1?"}, "a.0 b.0 c.1", "", "a.0 b.0 c.0 c.1"},
 		{"lost folder: remove the lost store", []string{"a.0", "b.0", "c.0", "c.1"}, "a.0 b.0 c.1", "", "a.0 b.0 c.1"},
-		{"a learner that is gone leaves", []string{"a.0", "b.0", "c.0", "d.1?"}, "a.0 b.0 c.0", "d.1", "a.0 b.0 c.0"},
-		{"a silent learner that is heard stays", []string{"a.0", "b.0", "c.0", "d.1?"}, "a.0 b.0 c.0 d.1", "d.1", "nothing"},
-		{"a lost voter goes though a learner is gone too", []string{"a.0", "b.0", "c.0", "d.1", "e.0?"}, "a.0 b.0 d.1", "c.0 e.0", "a.0 b.0 c.0 d.1"},
-		{"folder lost twice: the learner that was lost too goes", []string{"a.0", "b.0", "c.0", "c.1?", "c.2?!"}, "a.0 b.0 c.2", "", "a.0 b.0 c.0 c.2?"},
-		{"gone for good: the spare is promoted", []string{"a.0", "b.0", "c.0", "d.1?"}, "a.0 b.0 d.1", "c.0", "a.0 b.0 c.0 d.1"},
-		{"gone for good: then removed", []string{"a.0", "b.0", "c.0", "d.1"}, "a.0 b.0 d.1", "c.0", "a.0 b.0 d.1"},
+		{"a lost learner is removed", []string{"a.0", "b.0", "c.0", "d.1?"}, "a.0 b.0 c.0", "d.1", "a.0 b.0 c.0"},
+		{"a learner that does not answer but whose store is live stays", []string{"a.0", "b.0", "c.0", "d.1?"}, "a.0 b.0 c.0 d.1", "d.1", "nothing"},
+		{"a lost voter is removed although a learner is lost too", []string{"a.0", "b.0", "c.0", "d.1", "e.0?"}, "a.0 b.0 d.1", "c.0 e.0", "a.0 b.0 c.0 d.1"},
+		{"folder lost twice: the superseded learner is removed", []string{"a.0", "b.0", "c.0", "c.1?", "c.2?!"}, "a.0 b.0 c.2", "", "a.0 b.0 c.0 c.2?"},
+		{"voter lost: the learner is promoted", []string{"a.0", "b.0", "c.0", "d.1?"}, "a.0 b.0 d.1", "c.0", "a.0 b.0 c.0 d.1"},
+		{"voter lost: removed after the promotion", []string{"a.0", "b.0", "c.0", "d.1"}, "a.0 b.0 d.1", "c.0", "a.0 b.0 d.1"},
 		{"three of six: the fourth stays a learner", []string{"a.0", "b.0", "c.0", "d.1?"}, "a.0 b.0 c.0 d.1", "", "nothing"},
 		{"three of six: with a fifth both are promoted", []string{"a.0", "b.0", "c.0", "d.1?", "e.1?"}, "a.0 b.0 c.0 d.1 e.1", "", "a.0 b.0 c.0 d.1 e.1?"},
 		{"six hosts: five voters and a spare", []string{"a.0", "b.0", "c.0", "d.1", "e.1", "f.1?"}, "a.0 b.0 c.0 d.1 e.1 f.1", "", "nothing"},
@@ -75,40 +76,40 @@
 			for _, id := range strings.Fields(c.live) {
 				live = append(live, LiveStore{ID: id, Address: addressOf(id)})
 			}
-			silent := map[string]time.Duration{}
-			for _, id := range strings.Fields(c.silent) {
-				silent[id] = time.Minute
+			unansweredFor := map[string]time.Duration{}
+			for _, id := range strings.Fields(c.unanswered) {
+				unansweredFor[id] = time.Minute
 			}
 			st := statusOf(c.group...)
-			got := describe(NextMembers(st, live, silent, RepairLimits{MaxVoters: 5, LostAfter: 8 * time.Second}))
+			got := describe(NextMembers(st, live, unansweredFor, RepairLimits{MaxVoters: 5, LostAfter: 8 * time.Second}))
 			if got != c.want {
-				t.Errorf("next %s, want %s", got, c.want)
+				t.Errorf("next members %s, want %s", got, c.want)
 			}
 			st.Role = Follower
-			if NextMembers(st, live, silent, RepairLimits{MaxVoters: 5, LostAfter: 8 * time.Second}) != nil {
+			if NextMembers(st, live, unansweredFor, RepairLimits{MaxVoters: 5, LostAfter: 8 * time.Second}) != nil {
 				t.Error("a follower proposes members")
 			}
 		})
 	}
 }
 
-// storeNamed is a store whose name says where it is: region, failure domain and number, as in
-// "A1x".
+// storeNamed returns a store whose location is in its name: in "A1x", the region is A and the
+// failure domain A1.
 func storeNamed(name string) LiveStore {
 	return LiveStore{ID: name, Address: name, Region: name[:1], FailureDomain: name[:2]}
 }
 
-// TestVotersAreSpread lets a group grow from its founders, with several control hosts in each
-// failure domain. Voters were once made in the order in which stores had joined: three of five
-// stood in one failure domain, whose loss ended the group.
+// TestVotersAreSpread grows a group from its initial members, with several control hosts per
+// failure domain, and checks how voters are distributed. Guards against promotion in the order
+// of joining, which put three of five voters in one failure domain: its loss stopped the group.
 func TestVotersAreSpread(t *testing.T) {
 	cases := []struct {
 		name, founders, others string
-		lost                   string // of the voters, once the group is complete
-		perRegion, perDomain   int    // most voters there may be
+		lost                   string // failure domain that is lost once the group is complete; "" for none
+		perRegion, perDomain   int    // maximum voters
 	}{
-		{"four a failure domain", "A1a B1a C1a", "A1b A1c A1d A2a A2b A2c A2d B1b B1c B1d B2a B2b B2c B2d C1b C1c C1d C2a C2b C2c C2d", "", 2, 1},
-		{"one a failure domain", "A1a B1a C1a", "A2a B2a C2a", "", 2, 1},
+		{"four control hosts per failure domain", "A1a B1a C1a", "A1b A1c A1d A2a A2b A2c A2d B1b B1c B1d B2a B2b B2c B2d C1b C1c C1d C2a C2b C2c C2d", "", 2, 1},
+		{"one control host per failure domain", "A1a B1a C1a", "A2a B2a C2a", "", 2, 1},
 		{"a failure domain is lost", "A1a B1a C1a", "A1b A2a A2b B1b B2a B2b C1b C2a C2b", "A1", 2, 1},
 		{"one region", "A1a A2a A3a", "A1b A1c A2b A3b A4a A4b", "", 5, 2},
 	}
@@ -124,17 +125,17 @@
 				live = append(live, storeNamed(name))
 			}
 			st = applyRepairs(st, live, nil)
-			silent := map[string]time.Duration{}
+			unansweredFor := map[string]time.Duration{}
 			if c.lost != "" {
 				kept := live[:0]
 				for _, s := range live {
 					if s.FailureDomain == c.lost {
-						silent[s.ID] = time.Minute
+						unansweredFor[s.ID] = time.Minute
 					} else {
 						kept = append(kept, s)
 					}
 				}
-				st = applyRepairs(st, kept, silent)
+				st = applyRepairs(st, kept, unansweredFor)
 			}
 			regions, domains, voters := map[string]int{}, map[string]int{}, 0
 			for _, m := range st.Members.Members {
@@ -145,7 +146,7 @@
 				}
 			}
 			if voters != 5 {
-				t.Errorf("%d voters", voters)
+				t.Errorf("%d voters, want 5", voters)
 			}
 			for name, n := range regions {
 				if n > c.perRegion {
@@ -161,14 +162,15 @@
 	}
 }
 
-// applyRepairs takes the steps of the repair until there is none left; learners catch up at once.
-func applyRepairs(st Status, live []LiveStore, silent map[string]time.Duration) Status {
+// applyRepairs applies the changes of NextMembers until there is none left. Learners count as
+// caught up immediately.
+func applyRepairs(st Status, live []LiveStore, unansweredFor map[string]time.Duration) Status {
 	for range 100 {
 		st.Replicas = nil
 		for _, m := range st.Members.Members {
 			st.Replicas = append(st.Replicas, ReplicaStatus{ID: m.Id, Learner: m.Learner, CaughtUp: true})
 		}
-		next := NextMembers(st, live, silent, RepairLimits{MaxVoters: 5, LostAfter: 8 * time.Second})
+		next := NextMembers(st, live, unansweredFor, RepairLimits{MaxVoters: 5, LostAfter: 8 * time.Second})
 		if next == nil {
 			break
 		}
