--- a/internal/core/consensus/consensus_test.go
+++ b/internal/core/consensus/consensus_test.go
@@ -24,7 +24,7 @@
 // runSchedules runs schedules with seeds from 0 in a group of n replicas with leases. It
 // returns the first violation, the number of schedules with one, and the number of accepted
 // changes.
-func runSchedules(n, count int, disabled disabledMechanisms) (firstViolation string, bad, accepted int) {
+func runSchedules(n, count int, disabled disabledMechanisms) (firstViolation string, violating, accepted int) {
 	return runSchedulesLeases(n, count, disabled, false)
 }
 
@@ -93,7 +93,7 @@
 	for len(sim.net) > 0 {
 		m := sim.net[0]
 		sim.net = sim.net[1:]
-		if to := sim.servers[m.To]; to != nil && to.running && sim.cut[m.From] == sim.cut[m.To] {
+		if to := sim.servers[m.To]; to != nil && to.running && sim.partitions[m.From] == sim.partitions[m.To] {
 			to.node.Step(m)
 			sim.process(to, false)
 		}
@@ -111,7 +111,7 @@
 
 func (sim *simulation) tickAll(n int) {
 	for range n {
-		for _, id := range sim.order {
+		for _, id := range sim.serverIDs {
 			sim.servers[id].node.Tick()
 			sim.process(sim.servers[id], false)
 		}
@@ -125,13 +125,13 @@
 func TestVoteSurvivesRestart(t *testing.T) {
 	leaders := func(b disabledMechanisms) int {
 		sim := newSimulation(1, 3, b)
-		sim.cut = map[string]int{"s2": 1}
+		sim.partitions = map[string]int{"s2": 1}
 		sim.servers["s0"].node.campaign(Candidate)
 		sim.process(sim.servers["s0"], false)
 		for len(sim.net) > 0 && MessageType(sim.net[0].Type) <= MsgVoteReply {
 			m := sim.net[0]
 			sim.net = sim.net[1:]
-			if sim.cut[m.To] == 0 {
+			if sim.partitions[m.To] == 0 {
 				sim.servers[m.To].node.Step(m)
 				sim.process(sim.servers[m.To], false)
 			}
@@ -140,7 +140,7 @@
 		sim.crash(sim.servers["s1"])
 		sim.boot(sim.servers["s1"])
 		sim.servers["s1"].node.tick = 100 // past the election timeout after a restart, in which it ignores vote requests
-		sim.cut = map[string]int{"s0": 1}
+		sim.partitions = map[string]int{"s0": 1}
 		sim.servers["s2"].node.campaign(Candidate) // in term 1, as it received no message of the leader
 		sim.process(sim.servers["s2"], false)
 		sim.deliverAll()
@@ -157,13 +157,13 @@
 func TestReturningReplicaDoesNotDisturb(t *testing.T) {
 	sim := group(3)
 	s0 := sim.elect("s0")
-	sim.cut = map[string]int{"s2": 1}
+	sim.partitions = map[string]int{"s2": 1}
 	sim.tickAll(500)
 	term := s0.node.term
 	if got := sim.servers["s2"].node.term; got != term {
 		t.Errorf("the partitioned replica's term rose to %d, want %d: pre-vote must not raise it", got, term)
 	}
-	sim.cut = map[string]int{}
+	sim.partitions = map[string]int{}
 	sim.tickAll(30)
 	if s0.node.term != term || s0.node.role != Leader {
 		t.Errorf("term %d role %s after the partition, want %d leader", s0.node.term, s0.node.role, term)
@@ -177,7 +177,7 @@
 	if old.node.LeaseTicks() == 0 {
 		t.Fatal("a leader with quorum contact has no lease")
 	}
-	sim.cut = map[string]int{"s0": 1}
+	sim.partitions = map[string]int{"s0": 1}
 	for range 60 {
 		sim.tickAll(1)
 		for _, id := range []string{"s1", "s2"} {
@@ -210,9 +210,12 @@
 	}{
 		{"two voters at once", nil, members("s0"), failure.UnsafeMembership},
 		{"a new voter that was not a learner before", nil, members("s0", "s1", "s2", "new"), failure.UnsafeMembership},
-		{"no majority caught up", func(sim *simulation) { sim.cut["s1"], sim.cut["s2"] = 1, 1; sim.servers["s0"].node.tick += 100 }, members("s0", "s1"), failure.UnsafeMembership},
+		{"no majority caught up", func(sim *simulation) {
+			sim.partitions["s1"], sim.partitions["s2"] = 1, 1
+			sim.servers["s0"].node.tick += 100
+		}, members("s0", "s1"), failure.UnsafeMembership},
 		{"another change not committed", func(sim *simulation) {
-			sim.cut["s1"], sim.cut["s2"] = 1, 1
+			sim.partitions["s1"], sim.partitions["s2"] = 1, 1
 			next := proto.Clone(sim.servers["s0"].node.members).(*pb.RaftMembers)
 			next.Members = append(next.Members, &pb.RaftMember{Id: "l", Learner: true})
 			if _, _, err := sim.servers["s0"].node.ProposeMembers(next); err != nil {
@@ -291,8 +294,7 @@
 
 // TestHeartbeatsOvertakeALargeAppend answers heartbeats while an append is still in
 // transit, as happens with a large one between regions. The append must not be sent
-// again before resendRounds later heartbeats have been answered, and must be sent
-// again after that.
+// again until more than resendRounds later heartbeats have been answered.
 func TestHeartbeatsOvertakeALargeAppend(t *testing.T) {
 	members := &pb.RaftMembers{Members: []*pb.RaftMember{{Id: "a", Address: "a"}, {Id: "b", Address: "b"}}}
 	a := New(Options{ID: "a", ElectionTicks: 10, HeartbeatTicks: 1, Seed: 1, Snapshot: Snapshot{Members: members}})
--- a/internal/core/consensus/doc.go
+++ b/internal/core/consensus/doc.go
@@ -4,10 +4,10 @@
 // package does no I/O, reads no clock and starts no goroutine.
 //
 // The protocol is Raft (Ongaro and Ousterhout, "In Search of an Understandable
-// Consensus Algorithm", USENIX ATC 2014) with pre-vote, check-quorum (a leader
-// without quorum contact steps down), leader leases, read index and single-server membership
-// changes of Ongaro's dissertation ("Consensus: Bridging Theory and Practice",
-// Stanford 2014, sections 4.1 to 4.3, 6.4 and 9.6).
+// Consensus Algorithm", USENIX ATC 2014) with the pre-vote, check-quorum (a leader
+// without quorum contact steps down), leader leases, read index and single-server
+// membership changes of Ongaro's dissertation ("Consensus: Bridging Theory and
+// Practice", Stanford 2014, sections 4.1 to 4.3, 6.4 and 9.6).
 //
 // Invariants:
 //   - Election safety: a replica votes at most once per term, and its vote is in
--- a/internal/core/consensus/members.go
+++ b/internal/core/consensus/members.go
@@ -27,7 +27,9 @@
 	return n.append(EntryMembers, data), n.term, nil
 }
 
-// checkMembers returns an error if the group may lose its majority by a change to next.
+// checkMembers returns an error if a change to next is unsafe: more than one voter
+// changes, a new voter is not caught up, or no majority of the voters would be caught
+// up and answering.
 func (n *Node) checkMembers(next *pb.RaftMembers) error {
 	if changed := changedVoters(n.members, next); changed > 1 {
 		return failure.New(failure.UnsafeMembership, failure.NotRun, "%d voters change; change one at a time", changed)
--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -63,7 +63,7 @@
 
 // Options configures a Node.
 type Options struct {
-	ID             string // identity of the replica's store
+	ID             string // ID of the replica's store
 	ElectionTicks  int    // ticks without a leader's message before an election (default 10)
 	HeartbeatTicks int    // ticks between heartbeats (default 1)
 	MaxBatchBytes  int    // maximum bytes of entries in one append (default 256 KiB)
@@ -404,7 +404,7 @@
 		if id == n.o.ID {
 			return n.tick
 		}
-		return p.ackSent
+		return p.ackSentTick
 	})
 }
 
--- a/internal/core/consensus/repair.go
+++ b/internal/core/consensus/repair.go
@@ -32,7 +32,8 @@
 // at a time and adds before it removes:
 //
 //   - Live stores outside the group become learners, all in one step, because learners do
-//     not change the quorum. A lost learner whose store is not live is removed.
+//     not change the quorum. A learner that is superseded, or that is lost and whose
+//     store is not live, is removed.
 //   - A caught-up learner becomes a voter if there are too few voters or if a
 //     voter is lost. Learners in the region, then in the failure domain, with the fewest
 //     voters are preferred, so that the loss of one does not include a majority.
--- a/internal/core/consensus/replicate.go
+++ b/internal/core/consensus/replicate.go
@@ -6,20 +6,21 @@
 type progress struct {
 	match, next     uint64
 	probing         bool   // one append at a time until a common log position is found
-	paused          bool   // a probe is in flight; cleared by its answer and by each heartbeat
+	paused          bool   // a probe is in flight; cleared by any append reply and each heartbeat
 	inflight        int    // unacknowledged appends
 	sendingSnapshot bool   // a snapshot transfer is in progress
 	snapOffset      uint64 // bytes of the snapshot acknowledged
 	chunkAcked      bool   // a chunk was acknowledged since the last heartbeat reply
 	snapIndex       uint64
 	ackTick         uint64 // tick at which the last reply was received
-	ackSent         uint64 // tick at which the latest answered heartbeat was sent
+	ackSentTick     uint64 // tick at which the latest answered heartbeat was sent
 	ackRound        uint64 // round of the latest answered heartbeat
 	sentRound       uint64 // latest heartbeat round when the last append was sent
 }
 
-// resendRounds is the number of later heartbeat rounds after whose answers an append counts
-// as lost. It is more than one because heartbeats may overtake a large append in transit.
+// resendRounds is how many later heartbeat rounds may be answered before an unacknowledged
+// append counts as lost. It is more than one because heartbeats may overtake a large append
+// in transit.
 const resendRounds = 4
 
 func (n *Node) send(m *pb.RaftMessage) {
@@ -342,7 +343,7 @@
 func (n *Node) handleHeartbeatReply(p *progress, m *pb.RaftMessage) {
 	if m.Context > p.ackRound {
 		p.ackRound = m.Context
-		p.ackSent = n.roundTicks[m.Context]
+		p.ackSentTick = n.roundTicks[m.Context]
 	}
 	n.confirmReads()
 	if p.sendingSnapshot {
--- a/internal/core/consensus/restart_test.go
+++ b/internal/core/consensus/restart_test.go
@@ -25,12 +25,12 @@
 	sim := newSimulationLeases(1, len(starts), disabledMechanisms{}, noLeases)
 	sim.elect("s0")
 	sim.tickAll(5)
-	for _, id := range sim.order {
+	for _, id := range sim.serverIDs {
 		sim.crash(sim.servers[id])
 	}
 	var net []delayedMessage
 	for tick := range 100 {
-		for _, id := range sim.order {
+		for _, id := range sim.serverIDs {
 			s := sim.servers[id]
 			if starts[id] == tick {
 				sim.boot(s)
@@ -49,14 +49,14 @@
 			}
 		}
 		net = later
-		for _, id := range sim.order {
+		for _, id := range sim.serverIDs {
 			sim.process(sim.servers[id], false)
 		}
 		for _, m := range sim.net {
 			net = append(net, delayedMessage{proto.Clone(m).(*pb.RaftMessage), tick + oneWay})
 		}
 		sim.net = nil
-		for _, id := range sim.order {
+		for _, id := range sim.serverIDs {
 			if s := sim.servers[id]; s.running && s.node.Role() == Leader && s.node.committedInTerm() {
 				return tick
 			}
@@ -82,11 +82,11 @@
 		"s2 and s4 lost": {"s0": 0, "s1": 4, "s2": neverStarts, "s3": 8, "s4": neverStarts},
 	} {
 		t.Run(name, func(t *testing.T) {
-			const third = 8 // latest start tick of the third replica
-			const waits = 6 // ticks for repeated vote requests
+			const thirdStart = 8 // latest start tick of the third replica
+			const retryTicks = 6 // ticks for repeated vote requests
 			got, with := restartAll(t, true, oneWay, starts), restartAll(t, false, oneWay, starts)
 			t.Logf("leader after %d ticks without leases, %d with leases", got, with)
-			if limit := third + 3*2*oneWay + waits; got > limit {
+			if limit := thirdStart + 3*2*oneWay + retryTicks; got > limit {
 				t.Errorf("leader after %d ticks, want %d at most", got, limit)
 			}
 			if got >= with {
--- a/internal/core/consensus/simulation_test.go
+++ b/internal/core/consensus/simulation_test.go
@@ -43,14 +43,14 @@
 
 // server is a replica with its disk and state machine.
 type server struct {
-	id       string
-	node     *Node
-	machine  *configstate.Machine
-	disk     disk
-	running  bool
-	waiting  map[uint64]pending // proposals by log index
-	reads    map[uint64]int     // index of the operation by read ID
-	unsynced []Ready            // not written to disk yet; lost in a crash
+	id        string
+	node      *Node
+	machine   *configstate.Machine
+	disk      disk
+	running   bool
+	proposals map[uint64]pending // proposals by log index
+	reads     map[uint64]int     // index of the operation by read ID
+	unsynced  []Ready            // not written to disk yet; lost in a crash
 }
 
 // pending is a proposal that has not been applied.
@@ -90,10 +90,10 @@
 	noLeases       bool
 	clock          int64
 	servers        map[string]*server
-	order          []string
+	serverIDs      []string
 	initialMembers []*pb.RaftMember
 	net            []*pb.RaftMessage
-	cut            map[string]int // network partition of each server
+	partitions     map[string]int // network partition of each server
 	ops            []operation
 	leaders        map[uint64]string
 	applied        map[uint64]string
@@ -107,7 +107,7 @@
 
 func newSimulationLeases(seed int64, n int, disabled disabledMechanisms, noLeases bool) *simulation {
 	sim := &simulation{
-		rnd: rand.New(rand.NewSource(seed)), disabled: disabled, noLeases: noLeases, servers: map[string]*server{}, cut: map[string]int{},
+		rnd: rand.New(rand.NewSource(seed)), disabled: disabled, noLeases: noLeases, servers: map[string]*server{}, partitions: map[string]int{},
 		leaders: map[uint64]string{}, applied: map[uint64]string{},
 	}
 	for i := range n {
@@ -122,7 +122,7 @@
 func (sim *simulation) add(id string) *server {
 	s := &server{id: id, disk: disk{snap: Snapshot{Members: &pb.RaftMembers{Members: sim.initialMembers}}}}
 	sim.servers[id] = s
-	sim.order = append(sim.order, id)
+	sim.serverIDs = append(sim.serverIDs, id)
 	sim.boot(s)
 	return s
 }
@@ -143,7 +143,7 @@
 	if s.disk.snap.Data != nil {
 		_ = s.machine.Restore(s.disk.snap.Data)
 	}
-	s.running, s.waiting, s.reads = true, map[uint64]pending{}, map[uint64]int{}
+	s.running, s.proposals, s.reads = true, map[uint64]pending{}, map[uint64]int{}
 }
 
 func (sim *simulation) nextTimestamp() int64 { sim.clock++; return sim.clock }
@@ -225,8 +225,8 @@
 		_ = proto.Unmarshal(e.Data, c)
 		res = s.machine.Apply(c)
 	}
-	if p, ok := s.waiting[e.Index]; ok {
-		delete(s.waiting, e.Index)
+	if p, ok := s.proposals[e.Index]; ok {
+		delete(s.proposals, e.Index)
 		if p.term == e.Term {
 			sim.complete(p.op, answer{known: true, version: res.Version, current: res.Current})
 		}
@@ -260,7 +260,7 @@
 		return
 	}
 	sim.ops = append(sim.ops, operation{in: in, call: call})
-	s.waiting[index] = pending{term, len(sim.ops) - 1}
+	s.proposals[index] = pending{term, len(sim.ops) - 1}
 }
 
 func (sim *simulation) read(s *server) {
@@ -288,7 +288,7 @@
 		return
 	}
 	delete(sim.servers, s.id)
-	sim.order = slices.DeleteFunc(sim.order, func(id string) bool { return id == s.id })
+	sim.serverIDs = slices.DeleteFunc(sim.serverIDs, func(id string) bool { return id == s.id })
 	sim.nextID++
 	sim.add(fmt.Sprintf("n%d", sim.nextID))
 }
@@ -306,7 +306,7 @@
 			return
 		}
 	}
-	for _, id := range sim.order {
+	for _, id := range sim.serverIDs {
 		if !known[id] {
 			next.Members = append(next.Members, &pb.RaftMember{Id: id, Learner: true})
 			_, _, _ = s.node.ProposeMembers(next)
@@ -322,19 +322,21 @@
 	}
 }
 
-func (sim *simulation) pick() *server { return sim.servers[sim.order[sim.rnd.Intn(len(sim.order))]] }
+func (sim *simulation) randomServer() *server {
+	return sim.servers[sim.serverIDs[sim.rnd.Intn(len(sim.serverIDs))]]
+}
 
 // run executes a schedule: random events and faults for the given number of steps, at most
 // diskLosses of them losses of a disk, and then a phase without faults.
 func (sim *simulation) run(steps int, diskLosses int) {
 	for i := range steps {
 		x := sim.rnd.Float64()
-		s := sim.pick()
+		s := sim.randomServer()
 		switch {
 		case x < 0.003:
 			sim.partition()
 		case x < 0.006:
-			sim.cut = map[string]int{}
+			sim.partitions = map[string]int{}
 		case x < 0.010 && s.running:
 			sim.crash(s)
 		case x < 0.011 && diskLosses > 0 && sim.downCount() == 0:
@@ -374,8 +376,8 @@
 }
 
 func (sim *simulation) partition() {
-	for _, id := range sim.order {
-		sim.cut[id] = sim.rnd.Intn(2)
+	for _, id := range sim.serverIDs {
+		sim.partitions[id] = sim.rnd.Intn(2)
 	}
 }
 
@@ -403,7 +405,7 @@
 		sim.net = slices.Delete(sim.net, i, i+1)
 	}
 	to := sim.servers[m.To]
-	if to == nil || !to.running || sim.cut[m.From] != sim.cut[m.To] || sim.rnd.Float64() < 0.03 {
+	if to == nil || !to.running || sim.partitions[m.From] != sim.partitions[m.To] || sim.rnd.Float64() < 0.03 {
 		return
 	}
 	to.node.Step(proto.Clone(m).(*pb.RaftMessage))
@@ -412,14 +414,14 @@
 
 // healAndFinish ends all faults, lets the group complete its work and reads from each replica.
 func (sim *simulation) healAndFinish() {
-	sim.cut = map[string]int{}
-	for _, id := range sim.order {
+	sim.partitions = map[string]int{}
+	for _, id := range sim.serverIDs {
 		if s := sim.servers[id]; !s.running {
 			sim.boot(s)
 		}
 	}
 	for range 120 {
-		for _, id := range sim.order {
+		for _, id := range sim.serverIDs {
 			sim.servers[id].node.Tick()
 			sim.process(sim.servers[id], false)
 		}
@@ -435,7 +437,7 @@
 			}
 		}
 	}
-	for _, id := range sim.order {
+	for _, id := range sim.serverIDs {
 		sim.read(sim.servers[id])
 		sim.process(sim.servers[id], false)
 	}
--- a/internal/core/consensus/staleness_test.go
+++ b/internal/core/consensus/staleness_test.go
@@ -18,7 +18,7 @@
 			sim := newSimulationLeases(1, 3, disabledMechanisms{}, true)
 			sim.elect("s0")
 			sim.tickAll(5)
-			sim.cut = map[string]int{cut: 1}
+			sim.partitions = map[string]int{cut: 1}
 			sim.tickAll(1) // messages in transit arrive
 			at := sim.servers[cut].node.Ticks()
 			sim.tickAll(60)
@@ -26,7 +26,7 @@
 				t.Errorf("partitioned at tick %d, but current as of tick %d", at, got)
 			}
 			sim.checkCurrent(t, cut)
-			sim.cut = map[string]int{}
+			sim.partitions = map[string]int{}
 			sim.tickAll(30)
 			sim.checkCurrent(t, "")
 		})
@@ -37,7 +37,7 @@
 // timeout.
 func (sim *simulation) checkCurrent(t *testing.T, except string) {
 	t.Helper()
-	for _, id := range sim.order {
+	for _, id := range sim.serverIDs {
 		n := sim.servers[id].node
 		if id != except && n.CurrentAsOf()+uint64(n.o.ElectionTicks) < n.Ticks() {
 			t.Errorf("%s at tick %d is current only as of tick %d", id, n.Ticks(), n.CurrentAsOf())
@@ -53,13 +53,13 @@
 	sim.elect("s0")
 	sim.tickAll(5)
 	leader, behind := sim.servers["s0"], sim.servers["s2"]
-	sim.cut = map[string]int{"s2": 1}
+	sim.partitions = map[string]int{"s2": 1}
 	if _, _, err := leader.node.Propose([]byte("missed")); err != nil {
 		t.Fatal(err)
 	}
 	sim.tickAll(4)
 	before := behind.node.CurrentAsOf()
-	sim.cut = map[string]int{}
+	sim.partitions = map[string]int{}
 	for range 3 * leader.node.o.HeartbeatTicks {
 		leader.node.Tick()
 		behind.node.Tick()
--- a/internal/core/controlhosts/choice_test.go
+++ b/internal/core/controlhosts/choice_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-var noon = time.Unix(1000, 0)
+var testNow = time.Unix(1000, 0)
 
 // liveCandidates returns n candidates of a failure domain, all named and none avoided.
 func liveCandidates(domain string, n int) []Candidate {
@@ -17,9 +17,9 @@
 	return out
 }
 
-func chosen(t *testing.T, host string, list []Candidate) string {
+func chooseOne(t *testing.T, host string, list []Candidate) string {
 	t.Helper()
-	got := Choose(host, list, noon)
+	got := Choose(host, list, testNow)
 	if len(got) != 1 {
 		t.Fatalf("%d control hosts chosen in one failure domain, want 1", len(got))
 	}
@@ -30,7 +30,7 @@
 	list := append(liveCandidates("a", 4), liveCandidates("b", 4)...)
 	list = append(list, Candidate{Address: "x"}, Candidate{Address: "y"})
 	domains := map[string]int{}
-	for _, c := range Choose("h", list, noon) {
+	for _, c := range Choose("h", list, testNow) {
 		domains[c.Domain]++
 	}
 	if domains["a"] != 1 || domains["b"] != 1 || domains[""] != 2 || len(domains) != 3 {
@@ -42,7 +42,7 @@
 // control host of the failure domain.
 func TestChoiceMoves(t *testing.T) {
 	list := liveCandidates("a", 4)
-	first := chosen(t, "h", list)
+	first := chooseOne(t, "h", list)
 	edit := func(f func(c *Candidate)) []Candidate {
 		out := append([]Candidate(nil), list...)
 		for i := range out {
@@ -50,7 +50,7 @@
 		}
 		return out
 	}
-	avoided := noon.Add(time.Millisecond)
+	avoided := testNow.Add(time.Millisecond)
 	cases := []struct {
 		name  string
 		list  []Candidate
@@ -64,7 +64,7 @@
 		}), false},
 		{"the avoidance of the chosen one has expired", edit(func(c *Candidate) {
 			if c.Address == first {
-				c.AvoidUntil = noon
+				c.AvoidUntil = testNow
 			}
 		}), true},
 		{"all are avoided", edit(func(c *Candidate) { c.AvoidUntil = avoided }), true},
@@ -78,7 +78,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := chosen(t, "h", c.list); (got == first) != c.stays {
+			if got := chooseOne(t, "h", c.list); (got == first) != c.stays {
 				t.Errorf("chose %s, first choice was %s", got, first)
 			}
 		})
@@ -98,7 +98,7 @@
 	}
 	held, all := map[string]int{}, 0
 	for i := range hosts {
-		for _, c := range Choose(fmt.Sprint("host-", i), list, noon) {
+		for _, c := range Choose(fmt.Sprint("host-", i), list, testNow) {
 			held[c.Address]++
 			all++
 		}
--- a/internal/core/controlhosts/controlhosts_test.go
+++ b/internal/core/controlhosts/controlhosts_test.go
@@ -42,11 +42,11 @@
 			11 * s, false, [3]bool{true, false, false}, [3]bool{true, false, false}},
 		{"no configuration yet", []answer{{10 * s, SameDomain, fresh}}, 10 * s, true, [3]bool{true, true, false}, [3]bool{true, false, false}},
 	}
-	began := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := contactsAfter(c.answers)
-			now := began.Add(c.now)
+			now := start.Add(c.now)
 			for d := range distances {
 				if got := h.Asks(d, !c.unconfigured, c.now, now); got != c.asks[d] {
 					t.Errorf("Asks(distance %d) = %v", d, got)
--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -29,7 +29,7 @@
 
 // History holds the current start of a server and the starts that it replaced.
 type History struct {
-	Current  int64
+	Current  int64 // 0 if none is recorded
 	replaced []int64
 }
 
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -60,7 +60,7 @@
 	members     map[string]*Member
 	order       []string
 	next        int
-	updates     map[string]int // remaining retransmissions by host ID
+	retransmits map[string]int // remaining retransmissions by host ID
 	events      []Event
 }
 
@@ -71,7 +71,7 @@
 	}
 	return &List{
 		o: o, rnd: rand.New(rand.NewSource(o.Seed)), incarnation: incarnation,
-		members: map[string]*Member{}, updates: map[string]int{},
+		members: map[string]*Member{}, retransmits: map[string]int{},
 	}
 }
 
@@ -90,7 +90,7 @@
 	for id := range l.members {
 		if !keep[id] {
 			delete(l.members, id)
-			delete(l.updates, id)
+			delete(l.retransmits, id)
 		}
 	}
 	l.order, l.next = nil, 0
@@ -195,7 +195,7 @@
 		l.events = append(l.events, Event{m.ID, s})
 	}
 	m.State, m.Since = s, now
-	l.updates[m.ID] = l.o.Retransmit
+	l.retransmits[m.ID] = l.o.Retransmit
 }
 
 // Merge applies updates received from another host. If an update marks this host
@@ -207,7 +207,7 @@
 		if u.Host == l.o.ID {
 			if State(u.State) != Alive && u.Incarnation >= l.incarnation {
 				l.incarnation = u.Incarnation + 1
-				l.updates[l.o.ID] = l.o.Retransmit
+				l.retransmits[l.o.ID] = l.o.Retransmit
 				refuted = true
 			}
 			continue
@@ -242,17 +242,17 @@
 	if m := l.members[receiver]; m != nil && m.State != Alive {
 		out = append(out, &pb.MemberUpdate{Host: m.ID, Incarnation: m.Incarnation, State: uint32(m.State)})
 	}
-	ids := make([]string, 0, len(l.updates))
-	for id := range l.updates {
+	ids := make([]string, 0, len(l.retransmits))
+	for id := range l.retransmits {
 		ids = append(ids, id)
 	}
 	sort.Slice(ids, func(i, j int) bool {
-		a, b := l.updates[ids[i]], l.updates[ids[j]]
+		a, b := l.retransmits[ids[i]], l.retransmits[ids[j]]
 		return a > b || (a == b && ids[i] < ids[j])
 	})
 	for _, id := range ids[:min(maxUpdates, len(ids))] {
-		if l.updates[id]--; l.updates[id] <= 0 {
-			delete(l.updates, id)
+		if l.retransmits[id]--; l.retransmits[id] <= 0 {
+			delete(l.retransmits, id)
 		}
 		if id == l.o.ID {
 			out = append(out, &pb.MemberUpdate{Host: id, Incarnation: l.incarnation})
