--- a/internal/core/consensus/members.go
+++ b/internal/core/consensus/members.go
@@ -12,7 +12,7 @@
 // majority of voters that are caught up and answering.
 func (n *Node) ProposeMembers(next *pb.RaftMembers) (index, term uint64, err error) {
 	if n.role != Leader {
-		return 0, 0, failure.New(failure.NoLeader, failure.NotRun, "replica %s is a %s", n.o.ID, n.role)
+		return 0, 0, failure.New(failure.NoLeader, failure.NotRun, "replica %s is a %s, not the leader", n.o.ID, n.role)
 	}
 	if !n.committedInTerm() || n.membersIndex > n.log.commit {
 		return 0, 0, failure.New(failure.MembershipPending, failure.NotRun, "the last membership change is not committed yet")
--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -212,7 +212,7 @@
 // committed only if Ready returns an entry with this index and term in Committed.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader {
-		return 0, 0, failure.New(failure.NoLeader, failure.NotRun, "replica %s is a %s", n.o.ID, n.role)
+		return 0, 0, failure.New(failure.NoLeader, failure.NotRun, "replica %s is a %s, not the leader", n.o.ID, n.role)
 	}
 	return n.append(EntryNormal, data), n.term, nil
 }
@@ -220,7 +220,7 @@
 // ReadIndex starts a linearizable read. A later Ready returns a Read with the id.
 func (n *Node) ReadIndex(id uint64) error {
 	if n.role != Leader {
-		return failure.New(failure.NoLeader, "", "replica %s is a %s", n.o.ID, n.role)
+		return failure.New(failure.NoLeader, "", "replica %s is a %s, not the leader", n.o.ID, n.role)
 	}
 	if !n.committedInTerm() {
 		return failure.New(failure.NoLeader, "", "the leader has not committed an entry of its term yet")
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -38,12 +38,12 @@
 
 // Member is the state that this host has recorded for another host.
 type Member struct {
-	ID          string
-	State       State
-	Incarnation uint64
-	Draining    bool
-	Since       time.Time // time of the last change of State or Incarnation
-	Heard       bool      // has acknowledged at least one probe
+	ID           string
+	State        State
+	Incarnation  uint64
+	Draining     bool
+	Since        time.Time // time of the last change of State or Incarnation
+	Acknowledged bool      // has acknowledged at least one probe
 }
 
 // Event reports a change of a member's state.
@@ -161,7 +161,7 @@
 	if m == nil {
 		return
 	}
-	m.Heard = true
+	m.Acknowledged = true
 	m.Draining = draining
 	if incarnation > m.Incarnation {
 		m.Incarnation = incarnation
