--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -38,12 +38,12 @@
 
 // Member is the state that this host has recorded for another host.
 type Member struct {
-	ID           string
-	State        State
-	Incarnation  uint64
-	Draining     bool
-	Since        time.Time // time of the last change of State or Incarnation
-	Acknowledged bool      // has acknowledged at least one probe
+	ID          string
+	State       State
+	Incarnation uint64
+	Draining    bool
+	Since       time.Time // time of the last change of State or Incarnation
+	Contacted   bool      // a message from the host has been received
 }
 
 // Event reports a change of a member's state.
@@ -75,7 +75,7 @@
 	}
 }
 
-// SetHosts sets the hosts to probe. New ones start as Alive with Heard false.
+// SetHosts sets the hosts to probe. New ones start as Alive and not Contacted.
 func (l *List) SetHosts(ids []string, now time.Time) {
 	keep := map[string]bool{}
 	for _, id := range ids {
@@ -153,15 +153,15 @@
 	return ids[:min(n, len(ids))]
 }
 
-// Acked records that a host acknowledged a probe, or sent one, with its current
-// incarnation number. A host that was declared dead in this incarnation stays
+// Acked records a message from a host, such as a probe or an acknowledgement, that
+// carries its current incarnation number. A host that was declared dead in this incarnation stays
 // dead until it refutes with a higher one.
 func (l *List) Acked(id string, incarnation uint64, draining bool, now time.Time) {
 	m := l.members[id]
 	if m == nil {
 		return
 	}
-	m.Acknowledged = true
+	m.Contacted = true
 	m.Draining = draining
 	if incarnation > m.Incarnation {
 		m.Incarnation = incarnation
