--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -153,9 +153,9 @@
 	return ids[:min(n, len(ids))]
 }
 
-// Acked records a message from a host, such as a probe or an acknowledgement, that
-// carries its current incarnation number. A host that was declared dead in this incarnation stays
-// dead until it refutes with a higher one.
+// Acked records that a message was received from a host, and the host's incarnation
+// number. A host that was declared dead in this incarnation stays dead until it
+// refutes with a higher one.
 func (l *List) Acked(id string, incarnation uint64, draining bool, now time.Time) {
 	m := l.members[id]
 	if m == nil {
