--- a/internal/core/quota/bench_test.go
+++ b/internal/core/quota/bench_test.go
@@ -19,13 +19,13 @@
 	return out
 }
 
-// BenchmarkAsk is one ask of an entry host and its answer, with so many teams that asked
-// lately. It reports the bytes of both messages.
+// BenchmarkAsk measures one ask of an entry host and its answer, for a number of teams with recent
+// requests. It reports the size of both messages in bytes.
 func BenchmarkAsk(b *testing.B) {
 	for _, teams := range []int{1, 16, 200} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			i := NewIssuer(IssuerOptions{Bound: worldBound, Fresh: true}, now)
+			i := NewIssuer(IssuerOptions{Bound: simBound, Fresh: true}, now)
 			i.SetShare(1, true, now)
 			i.SetTeams(manyTeams(teams), now)
 			i.Stored(i.ToStore(now))
@@ -47,20 +47,20 @@
 	}
 }
 
-// BenchmarkToStore looks what is to be stored of so many teams, each with something spent in
-// each tenth of a second of a window.
+// BenchmarkToStore measures computing the state to store for a number of teams, each with units
+// spent in every 100 ms of a window.
 func BenchmarkToStore(b *testing.B) {
 	for _, teams := range []int{16, 2000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			i := NewIssuer(IssuerOptions{Bound: worldBound, Fresh: true}, now)
+			i := NewIssuer(IssuerOptions{Bound: simBound, Fresh: true}, now)
 			i.SetShare(1, true, now)
 			i.SetTeams(manyTeams(teams), now)
 			for range 80 {
 				now = now.Add(100 * time.Millisecond)
-				for _, p := range i.parts {
+				for _, p := range i.allotments {
 					p.free -= 1000
-					i.spend(p, 1000, now)
+					i.recordSpent(p, 1000, now)
 				}
 			}
 			var s *pb.QuotaState
--- a/internal/core/quota/holder.go
+++ b/internal/core/quota/holder.go
@@ -10,33 +10,34 @@
 
 // Holder spends units of teams' quotas on an entry host. It is not safe for concurrent use.
 type Holder struct {
-	purses map[string]*purse
+	accounts map[string]*account
 }
 
-// purse is what a holder has of one team's quota.
-type purse struct {
-	by     []*holding
-	demand meter
-	last   time.Time // of the last request
-	// waiting is what requests wait for, in all.
+// account is a holder's state for one team's quota.
+type account struct {
+	holdings    []*holding
+	demand      meter
+	lastRequest time.Time
+	// waiting is the number of units that waiting requests need in total.
 	waiting float64
 }
 
-// holding is what a holder has of one issuer's units.
+// holding is what a holder has of one issuer's units for a team.
 type holding struct {
 	issuer string
 	units  float64
 	until  time.Time
-	// taken is what requests took within refundWithin: it may come back, and counts as kept.
-	taken []lent
+	// refundable lists the units taken by requests within the last refundPeriod. They may be
+	// refunded, so they are reported to the issuer as kept.
+	refundable []leasedUnits
 }
 
-// refundWithin is how long a request that did not run may give its units back.
-const refundWithin = 150 * time.Millisecond
+// refundPeriod is how long the units of a request that did not run may be refunded.
+const refundPeriod = 150 * time.Millisecond
 
-// Charge is the units that one request took.
+// Charge records the units that one request took.
 type Charge struct {
-	units float64 // in all
+	units float64 // total
 	parts []chargePart
 	at    time.Time
 }
@@ -46,24 +47,24 @@
 	units float64
 }
 
-// Units returns what the request took.
+// Units returns the number of units that the request took.
 func (c *Charge) Units() float64 { return c.units }
 
 // NewHolder returns a holder without units.
-func NewHolder() *Holder { return &Holder{purses: map[string]*purse{}} }
+func NewHolder() *Holder { return &Holder{accounts: map[string]*account{}} }
 
-func (h *Holder) purse(team string) *purse {
-	p := h.purses[team]
+func (h *Holder) account(team string) *account {
+	p := h.accounts[team]
 	if p == nil {
-		p = &purse{}
-		h.purses[team] = p
+		p = &account{}
+		h.accounts[team] = p
 	}
 	return p
 }
 
-// of returns what is held of an issuer's units; nil for nothing.
-func (p *purse) of(issuer string) *holding {
-	for _, g := range p.by {
+// holdingFrom returns the units held from an issuer, or nil if there are none.
+func (p *account) holdingFrom(issuer string) *holding {
+	for _, g := range p.holdings {
 		if g.issuer == issuer {
 			return g
 		}
@@ -71,18 +72,18 @@
 	return nil
 }
 
-// Ask records that a request asks for units of a team's quota.
+// Ask records that a request needs units of a team's quota.
 func (h *Holder) Ask(team string, units float64, now time.Time) {
-	p := h.purse(team)
+	p := h.account(team)
 	p.demand.add(units, now)
-	p.last = now
+	p.lastRequest = now
 }
 
-// Has returns the units of a team that can be spent.
-func (h *Holder) Has(team string, now time.Time) float64 {
+// Available returns the number of a team's units that can be spent now.
+func (h *Holder) Available(team string, now time.Time) float64 {
 	sum := 0.0
-	if p := h.purses[team]; p != nil {
-		for _, g := range p.by {
+	if p := h.accounts[team]; p != nil {
+		for _, g := range p.holdings {
 			sum += g.spendable(now)
 		}
 	}
@@ -90,72 +91,73 @@
 }
 
 func (g *holding) spendable(now time.Time) float64 {
-	if over(g.until, now) {
+	if expired(g.until, now) {
 		return 0
 	}
 	return g.units
 }
 
-// Take spends units of a team, if there are enough.
+// Take spends units of a team, and reports false if there are too few.
 func (h *Holder) Take(team string, units float64, now time.Time) (*Charge, bool) {
-	if h.Has(team, now) < units {
+	if h.Available(team, now) < units {
 		return nil, false
 	}
 	c := &Charge{units: units, at: now}
 	left := units
-	for _, g := range h.purse(team).by {
+	for _, g := range h.account(team).holdings {
 		n := min(left, g.spendable(now))
 		if n <= 0 {
 			continue
 		}
 		g.units -= n
 		left -= n
-		g.taken = append(g.taken, lent{n, now.Add(refundWithin)})
+		g.refundable = append(g.refundable, leasedUnits{n, now.Add(refundPeriod)})
 		c.parts = append(c.parts, chargePart{g, n})
 	}
 	return c, true
 }
 
-// Refund gives back what a request took that did not run. It reports whether that was in time.
+// Refund returns the units of a request that did not run. It reports whether the refund was in
+// time, that is within refundPeriod.
 func (h *Holder) Refund(c *Charge, now time.Time) bool {
-	if now.Sub(c.at) >= refundWithin {
+	if now.Sub(c.at) >= refundPeriod {
 		return false
 	}
 	for _, part := range c.parts {
 		g := part.from
-		at := slices.IndexFunc(g.taken, func(l lent) bool { return l.units == part.units && l.until.Equal(c.at.Add(refundWithin)) })
+		at := slices.IndexFunc(g.refundable, func(l leasedUnits) bool { return l.units == part.units && l.until.Equal(c.at.Add(refundPeriod)) })
 		if at < 0 {
 			continue
 		}
-		g.taken = slices.Delete(g.taken, at, at+1)
+		g.refundable = slices.Delete(g.refundable, at, at+1)
 		g.units += part.units
 	}
 	return true
 }
 
-// Wait adds to what requests of the team wait for; a negative number ends a wait.
+// Wait adds units to what waiting requests of the team need; a negative number ends a wait.
 func (h *Holder) Wait(team string, units float64) {
-	p := h.purse(team)
+	p := h.account(team)
 	p.waiting = max(0, p.waiting+units)
 }
 
-// keepFor is for how long a holder keeps what its callers are expected to ask.
-const keepFor = 250 * time.Millisecond
+// aheadPeriod is the period for which a holder keeps units for expected requests.
+const aheadPeriod = 250 * time.Millisecond
 
-// idleAfter is when a team that asks nothing gives back all.
-const idleAfter = 600 * time.Millisecond
+// idleTimeout is how long after its last request a team's holder returns all of its units.
+const idleTimeout = 600 * time.Millisecond
 
-// Compose returns an ask to an issuer, and takes out what it gives back; nil when there is
-// nothing to say. nearest says that it is asked for what is expected, and needs for which teams
-// waiting requests ask it.
+// Compose returns the ask to send to an issuer, and removes the units that the ask returns; nil if
+// there is nothing to send. The nearest issuer is also asked for units for expected requests;
+// needs reports for which teams waiting requests ask this issuer.
 func (h *Holder) Compose(issuer string, nearest bool, needs func(team string) bool, now time.Time) *pb.QuotaAsk {
 	ask := &pb.QuotaAsk{}
-	for _, team := range slices.Sorted(maps.Keys(h.purses)) {
-		p := h.purses[team]
-		g := p.of(issuer)
+	for _, team := range slices.Sorted(maps.Keys(h.accounts)) {
+		p := h.accounts[team]
+		g := p.holdingFrom(issuer)
 		needed := 0.0
 		if needs(team) {
-			needed = max(0, p.waiting-h.Has(team, now))
+			needed = max(0, p.waiting-h.Available(team, now))
 		}
 		ahead := 0.0
 		if nearest {
@@ -166,35 +168,35 @@
 		}
 		part := &pb.QuotaPart{Team: team, Needed: needed}
 		if g != nil {
-			part.Returned = g.giveBack(max(p.waiting, ahead), now)
+			part.Returned = g.takeExcess(max(p.waiting, ahead), now)
 			part.Kept = g.kept(now)
 			if g.idle() && needed == 0 {
-				p.by = slices.DeleteFunc(p.by, func(other *holding) bool { return other == g })
+				p.holdings = slices.DeleteFunc(p.holdings, func(other *holding) bool { return other == g })
 			}
 		}
-		part.Ahead = max(0, ahead-h.Has(team, now))
+		part.Ahead = max(0, ahead-h.Available(team, now))
 		if needed == 0 && part.Kept == 0 && part.Returned == 0 && part.Ahead == 0 {
 			continue
 		}
 		ask.Parts = append(ask.Parts, part)
 	}
-	h.forget(now)
+	h.removeIdle(now)
 	if len(ask.Parts) == 0 {
 		return nil
 	}
 	return ask
 }
 
-// ahead is what should be there for the requests that are expected.
-func (p *purse) ahead(now time.Time) float64 {
-	if now.Sub(p.last) > idleAfter {
+// ahead returns the number of units to keep for expected requests.
+func (p *account) ahead(now time.Time) float64 {
+	if now.Sub(p.lastRequest) > idleTimeout {
 		return 0
 	}
-	return p.demand.now(now) * keepFor.Seconds()
+	return p.demand.rateAt(now) * aheadPeriod.Seconds()
 }
 
-func (g *holding) giveBack(keep float64, now time.Time) float64 {
-	if over(g.until, now) {
+func (g *holding) takeExcess(keep float64, now time.Time) float64 {
+	if expired(g.until, now) {
 		g.units = 0
 	}
 	back := max(0, g.units-keep)
@@ -202,48 +204,48 @@
 	return back
 }
 
-// kept is what an issuer must count as this holder's.
+// kept returns the number of units that an issuer must count as held by this holder.
 func (g *holding) kept(now time.Time) float64 {
-	g.taken = slices.DeleteFunc(g.taken, func(l lent) bool { return now.After(l.until) })
+	g.refundable = slices.DeleteFunc(g.refundable, func(l leasedUnits) bool { return now.After(l.until) })
 	sum := g.units
-	for _, l := range g.taken {
+	for _, l := range g.refundable {
 		sum += l.units
 	}
 	return sum
 }
 
-func (g *holding) idle() bool { return g.units == 0 && len(g.taken) == 0 }
+func (g *holding) idle() bool { return g.units == 0 && len(g.refundable) == 0 }
 
-// forget drops the teams that have asked nothing for long.
-func (h *Holder) forget(now time.Time) {
-	for team, p := range h.purses {
-		if len(p.by) == 0 && p.waiting == 0 && now.Sub(p.last) > Lease {
-			delete(h.purses, team)
+// removeIdle removes the accounts of teams without units that have had no request for Lease.
+func (h *Holder) removeIdle(now time.Time) {
+	for team, p := range h.accounts {
+		if len(p.holdings) == 0 && p.waiting == 0 && now.Sub(p.lastRequest) > Lease {
+			delete(h.accounts, team)
 		}
 	}
 }
 
-// Granted takes an issuer's answer to an ask that was sent at a moment.
+// Granted applies an issuer's answer to an ask that was sent at sentAt.
 func (h *Holder) Granted(issuer string, ask *pb.QuotaAsk, grant *pb.QuotaGrant, sentAt time.Time) {
 	for n, s := range grant.GetShares() {
 		if n >= len(ask.Parts) {
 			return
 		}
-		p := h.purse(ask.Parts[n].Team)
-		g := p.of(issuer)
+		p := h.account(ask.Parts[n].Team)
+		g := p.holdingFrom(issuer)
 		if g == nil {
 			g = &holding{issuer: issuer}
-			p.by = append(p.by, g)
+			p.holdings = append(p.holdings, g)
 		}
-		g.units += atLeast0(s.Granted)
+		g.units += nonNegative(s.Granted)
 		g.until = sentAt.Add(Lease)
 	}
 }
 
-// Holds reports whether the holder has units of an issuer.
+// Holds reports whether the holder has units, or still refundable ones, from an issuer.
 func (h *Holder) Holds(issuer string) bool {
-	for _, p := range h.purses {
-		if p.of(issuer) != nil {
+	for _, p := range h.accounts {
+		if p.holdingFrom(issuer) != nil {
 			return true
 		}
 	}
