--- a/internal/core/quota/simulation_test.go
+++ b/internal/core/quota/simulation_test.go
@@ -34,14 +34,14 @@
 
 type simHolder struct {
 	*Holder
-	name        string
-	nearest     int
-	up          bool
-	epoch       uint64
-	sequence    map[string]uint64
-	busy        map[string]bool
-	waiting     []float64
-	incarnation int
+	name          string
+	nearestIssuer int
+	up            bool
+	epoch         uint64
+	sequence      map[string]uint64
+	busy          map[string]bool
+	waiting       []float64
+	incarnation   int
 }
 
 type event struct {
@@ -89,7 +89,7 @@
 		w.startIssuer(is)
 	}
 	for i := range holders {
-		h := &simHolder{name: fmt.Sprint("h", i), nearest: i % issuers}
+		h := &simHolder{name: fmt.Sprint("h", i), nearestIssuer: i % issuers}
 		w.holders = append(w.holders, h)
 		w.startHolder(h)
 	}
@@ -238,8 +238,8 @@
 			return
 		}
 		for i, is := range w.issuers {
-			if i == h.nearest || h.Holds(is.name) {
-				w.ask(h, is, i == h.nearest)
+			if i == h.nearestIssuer || h.Holds(is.name) {
+				w.ask(h, is, i == h.nearestIssuer)
 			}
 		}
 		w.schedule(200*time.Millisecond, loop)
@@ -268,7 +268,7 @@
 			h.Granted(is.name, ask, g, sentAt)
 		}
 		w.serve(h)
-		if len(h.waiting) > 0 && is == w.issuers[h.nearest] {
+		if len(h.waiting) > 0 && is == w.issuers[h.nearestIssuer] {
 			w.ask(h, is, true) // for requests that arrived after the ask was sent
 		}
 	})
@@ -293,7 +293,7 @@
 	}
 	h.waiting = append(h.waiting, units)
 	h.Wait(simTeam, units)
-	w.ask(h, w.issuers[h.nearest], true)
+	w.ask(h, w.issuers[h.nearestIssuer], true)
 	life := h.incarnation
 	w.schedule(60*time.Millisecond, func() {
 		if h.incarnation == life && len(h.waiting) > 0 {
@@ -438,7 +438,7 @@
 	var loop func()
 	loop = func() {
 		h := w.holders[w.rng.Intn(len(w.holders))]
-		if h.up && (near == 0 || h.nearest == near-1) {
+		if h.up && (near == 0 || h.nearestIssuer == near-1) {
 			w.request(h, mean/2+w.rng.Float64()*mean)
 		}
 		share := 1.0
