--- a/internal/core/ledger/bench_test.go
+++ b/internal/core/ledger/bench_test.go
@@ -10,7 +10,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// fiveReplicas returns five hosts whose partitions all vote.
+// fiveReplicas returns the replicas of five hosts, with all partitions voting.
 func fiveReplicas() map[string]*Replica {
 	var members []Member
 	for i := range 5 {
@@ -22,12 +22,13 @@
 		r.SetMembers(members, 5)
 		out[m.ID] = r
 	}
-	settle(out, 0)
+	runRecovery(out, 0)
 	return out
 }
 
-// settle lets recovery finish; it returns the messages and bytes that it took.
-func settle(rs map[string]*Replica, now int64) (messages, bytes int) {
+// runRecovery runs the recovery until all partitions vote. It returns the number and the
+// size in bytes of the messages sent.
+func runRecovery(rs map[string]*Replica, now int64) (messages, bytes int) {
 	for {
 		now += 200
 		var net []*pb.LedgerMessage
@@ -46,7 +47,7 @@
 			messages++
 			bytes += proto.Size(m)
 			switch Kind(m.Kind) {
-			case Told, JoinState, FormPromise:
+			case RecoveryStatus, JoinState, FormPromise:
 				net = append(net, rs[m.To].HandleReply(m, now)...)
 			default:
 				if reply := rs[m.To].Handle(m, now); reply != nil {
@@ -57,8 +58,9 @@
 	}
 }
 
-// drive carries out an operation; it returns its messages and bytes.
-func drive(rs map[string]*Replica, op *Op, net []*pb.LedgerMessage, now int64) (messages, bytes int) {
+// runOp runs an operation to its end. It returns the number and the size in bytes of
+// the messages sent.
+func runOp(rs map[string]*Replica, op *Op, net []*pb.LedgerMessage, now int64) (messages, bytes int) {
 	for len(net) > 0 {
 		m := net[0]
 		net = net[1:]
@@ -74,14 +76,14 @@
 	key, attempt := fmt.Sprintf("team\x00key-%08d", i), fmt.Sprintf("attempt-%08d", i)
 	now := int64(1_000_000)
 	claim := &Op{Kind: OpClaim, Key: key, Attempt: attempt, Owner: "h0/1", Digest: make([]byte, 32), IssuedMS: now, RetentionMS: 900_000, NowMS: now}
-	m1, b1 := drive(rs, claim, claim.Start("p", []string{"h0", "h1", "h2", "h3", "h4"}), now)
+	m1, b1 := runOp(rs, claim, claim.Start("p", []string{"h0", "h1", "h2", "h3", "h4"}), now)
 	finish := &Op{Kind: OpFinish, Key: key, Attempt: attempt, Answer: &pb.LedgerAnswer{Status: 200, Body: make([]byte, 200)}, RetentionMS: 900_000, NowMS: now}
-	m2, b2 := drive(rs, finish, finish.Follow(claim), now)
+	m2, b2 := runOp(rs, finish, finish.Follow(claim), now)
 	return m1 + m2, b1 + b2
 }
 
-// BenchmarkOrder is the ledger's work for one order on all five replicas: claim
-// and recording of a 200-byte answer.
+// BenchmarkOrder measures the ledger's work for one request on all five replicas:
+// the claim and the recording of a 200-byte answer.
 func BenchmarkOrder(b *testing.B) {
 	rs := fiveReplicas()
 	b.ReportAllocs()
@@ -115,7 +117,7 @@
 		r := NewReplica("h4", Limits{MaxKeys: 1 << 20, RetryMS: 100}, 9)
 		r.SetMembers(members, 5)
 		rs["h4"] = r
-		messages, bytes = settle(rs, 2_000_000)
+		messages, bytes = runRecovery(rs, 2_000_000)
 		if r.Keys() != keys {
 			b.Fatalf("%d keys recovered", r.Keys())
 		}
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// schedules returns the number of schedules of a check; SESAME_SOAK multiplies it.
+// schedules returns the number of schedules to run; SESAME_SOAK multiplies it.
 func schedules(n int) int {
 	if f, err := strconv.Atoi(os.Getenv("SESAME_SOAK")); err == nil {
 		return n * f
@@ -19,11 +19,12 @@
 	return n
 }
 
-// play runs schedules and returns the first seed that broke a promise, and how
-// many schedules dispatched at all.
-func play(n, count int, b breakage) (first string, bad, dispatched int) {
+// runSchedules runs count schedules of n replicas. It describes the first one that
+// violated at-most-once execution, and returns the number of schedules that did and
+// the number that dispatched an attempt.
+func runSchedules(n, count int, b disabledMechanisms) (first string, bad, dispatched int) {
 	for seed := range int64(count) {
-		w := newWorld(seed, n, b)
+		w := newSimulation(seed, n, b)
 		w.run(300, 2+int(seed%3), 1+int(seed%4))
 		if len(w.executed) > 0 {
 			dispatched++
@@ -41,37 +42,38 @@
 func TestAtMostOnceOnRandomSchedules(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		count := schedules(1000)
-		first, bad, dispatched := play(n, count, breakage{})
-		t.Logf("%d replicas: %d schedules, %d dispatched, %d broken", n, count, dispatched, bad)
+		first, bad, dispatched := runSchedules(n, count, disabledMechanisms{})
+		t.Logf("%d replicas: %d schedules, %d dispatched an attempt, %d violated at-most-once execution", n, count, dispatched, bad)
 		if bad > 0 {
-			t.Errorf("%d replicas: %d of %d schedules broke the promise; first: %s", n, bad, count, first)
+			t.Errorf("%d replicas: %d of %d schedules violated at-most-once execution; first: %s", n, bad, count, first)
 		}
 		if dispatched < count/4 {
-			t.Errorf("%d replicas: only %d of %d schedules dispatched; the check sees too little", n, dispatched, count)
+			t.Errorf("%d replicas: only %d of %d schedules dispatched an attempt, want at least a quarter", n, dispatched, count)
 		}
 	}
 }
 
-// TestChecksSeeBrokenMechanisms switches off one mechanism at a time: the same
-// schedules must then break the promise.
+// TestChecksSeeBrokenMechanisms disables one mechanism at a time: the same
+// schedules must then violate at-most-once execution.
 func TestChecksSeeBrokenMechanisms(t *testing.T) {
-	for name, b := range map[string]breakage{
+	for name, b := range map[string]disabledMechanisms{
 		"majority": {majority: true},
 		"recovery": {recovery: true},
 		"fence":    {fence: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			first, bad, _ := play(3, 1500, b)
-			t.Logf("%d of 1500 schedules broken; first: %s", bad, first)
+			first, bad, _ := runSchedules(3, 1500, b)
+			t.Logf("%d of 1500 schedules violated at-most-once execution; first: %s", bad, first)
 			if bad == 0 {
-				t.Error("no schedule broke the promise without the mechanism")
+				t.Error("no schedule violated at-most-once execution without the mechanism")
 			}
 		})
 	}
 }
 
-// deliverAll delivers the messages that match and keeps the others.
-func (w *world) deliverAll(match func(*pb.LedgerMessage) bool) {
+// deliverAll delivers the matching messages, including those sent in reply, and
+// keeps the others.
+func (w *simulation) deliverAll(match func(*pb.LedgerMessage) bool) {
 	for again := true; again; {
 		again = false
 		for i, m := range w.net {
@@ -84,8 +86,8 @@
 	}
 }
 
-func (w *world) restartAndRecover(id string, with func(*pb.LedgerMessage) bool) {
-	w.boot(id)
+func (w *simulation) restartAndRecover(id string, with func(*pb.LedgerMessage) bool) {
+	w.startReplica(id)
 	for range 20 {
 		if w.slot(w.replicas[id]).active {
 			return
@@ -103,14 +105,14 @@
 	return func(m *pb.LedgerMessage) bool { return set[m.From] && set[m.To] }
 }
 
-// stalePromise plays the schedule in which a promise given before a crash meets
-// one given after the recovery read: q's promise by h1 is held back, h1 restarts
-// and recovers, p claims with h1 and h2, then q's other promise comes from h0.
-func stalePromise(b breakage) *world {
-	w := newWorld(1, 3, b)
+// stalePromise runs the schedule in which a promise given before a crash is combined
+// with one given after the recovery read. q has a promise of h1; h1 restarts and
+// recovers; p claims the key with h1 and h2; then q receives a promise of h0.
+func stalePromise(b disabledMechanisms) *simulation {
+	w := newSimulation(1, 3, b)
 	w.claimFrom("q", 5)
 	w.deliverAll(between("q", "h1"))
-	w.net = nil // q's messages to h0 and h2 are lost; its promise by h1 arrived
+	w.net = nil // q's messages to h0 and h2 are lost; the promise of h1 was received
 	w.restartAndRecover("h1", between("h0", "h1", "h2"))
 	w.net = nil
 	w.claim("p")
@@ -118,7 +120,7 @@
 	w.net = nil
 	for _, m := range w.ops["q"].broadcast(&pb.LedgerMessage{Kind: uint32(Prepare)}) {
 		if m.To == "h0" {
-			w.hand(proto.Clone(m).(*pb.LedgerMessage))
+			w.receive(proto.Clone(m).(*pb.LedgerMessage))
 		}
 	}
 	w.deliverAll(func(*pb.LedgerMessage) bool { return true })
@@ -126,25 +128,26 @@
 }
 
 func TestStalePromiseIsNotCounted(t *testing.T) {
-	w := stalePromise(breakage{})
+	w := stalePromise(disabledMechanisms{})
 	if v := w.violation(); v != "" {
-		t.Errorf("broken: %s", v)
+		t.Errorf("at-most-once execution violated: %s", v)
 	}
 	if w.outcomes[Won] == 0 {
-		t.Error("nobody won the key: the schedule proves nothing")
+		t.Error("no claim succeeded: the schedule did not test the stale promise")
 	}
-	if w := stalePromise(breakage{vectors: true}); len(w.executed) < 2 && w.outcomes[Won] < 2 {
-		t.Error("without incarnation vectors the schedule must give the key away twice")
+	if w := stalePromise(disabledMechanisms{vectors: true}); len(w.executed) < 2 && w.outcomes[Won] < 2 {
+		t.Error("without incarnation vectors two claims of the key must succeed")
 	}
 }
 
-// TestMajorityForgot restarts two of three replicas at once: a new generation
-// forms, and the old key is answered as forgotten.
-func lostMajority(b breakage, late bool) (*world, *Op) {
-	w := newWorld(2, 3, b)
+// lostMajority restarts two of three replicas at once after a claim, and claims the
+// same key again after a new generation has formed. If late is true, the accepts of
+// an earlier claim are delivered only in the new generation.
+func lostMajority(b disabledMechanisms, late bool) (*simulation, *Op) {
+	w := newSimulation(2, 3, b)
 	all := func(*pb.LedgerMessage) bool { return true }
 	var held []*pb.LedgerMessage
-	if late { // o has its promises, its accepts are held back
+	if late { // o has received its promises; its accepts are held back
 		w.claim("o")
 		w.deliverAll(func(m *pb.LedgerMessage) bool { return Kind(m.Kind) != Accept })
 		held, w.net = w.net, nil
@@ -154,8 +157,8 @@
 	if first.Result != Won {
 		return w, first
 	}
-	w.boot("h0")
-	w.boot("h1")
+	w.startReplica("h0")
+	w.startReplica("h1")
 	for range 100 {
 		w.advance(100)
 		w.deliverAll(all)
@@ -167,8 +170,11 @@
 	return w, op
 }
 
+// TestMajorityForgot checks that a new generation forms when a majority loses its
+// memory, that a key issued before its birth is refused as forgotten, and that a key
+// issued after it can be claimed.
 func TestMajorityForgot(t *testing.T) {
-	w, op := lostMajority(breakage{}, false)
+	w, op := lostMajority(disabledMechanisms{}, false)
 	if !w.allActive() {
 		t.Fatal("no new generation formed")
 	}
@@ -183,24 +189,24 @@
 	}
 }
 
-// TestLateAcceptOfLostGeneration holds an accept back until its generation is
-// lost; it must not complete in the new one.
+// TestLateAcceptOfLostGeneration checks that an accept delivered after its generation
+// was lost does not complete in the new one.
 func TestLateAcceptOfLostGeneration(t *testing.T) {
-	won := func(b breakage) int {
+	won := func(b disabledMechanisms) int {
 		w, _ := lostMajority(b, true)
 		return w.outcomes[Won]
 	}
-	sound := won(breakage{})
-	weak := won(breakage{generation: true})
+	sound := won(disabledMechanisms{})
+	weak := won(disabledMechanisms{generation: true})
 	if sound >= weak {
-		t.Errorf("claims won: %d with the generation check, %d without; the check must prevent one", sound, weak)
+		t.Errorf("successful claims: %d with the generation check, %d without; the check must prevent one", sound, weak)
 	}
 }
 
-// TestHeldOperationCannotCompleteAfterExpiry holds a proposer between its
-// promise and its accept for longer than an empty key lives.
+// TestHeldOperationCannotCompleteAfterExpiry delays a proposer's accepts for longer
+// than the lifetime of an empty key, and checks that they no longer succeed.
 func TestHeldOperationCannotCompleteAfterExpiry(t *testing.T) {
-	w := newWorld(3, 3, breakage{})
+	w := newSimulation(3, 3, disabledMechanisms{})
 	w.claim("x")
 	w.deliverAll(func(m *pb.LedgerMessage) bool { return Kind(m.Kind) != Accept })
 	held := w.net
@@ -241,7 +247,7 @@
 		{"takes over an abandoned attempt", func(o *Op) { o.Abandoned = func(a string) bool { return a == "a-first" } }, Won},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(7, 3, breakage{})
+			w := newSimulation(7, 3, disabledMechanisms{})
 			first := w.claim("first")
 			w.deliverAll(func(m *pb.LedgerMessage) bool { return first.Result == Pending })
 			w.net = nil
@@ -263,7 +269,7 @@
 }
 
 func TestFullReplicaRefusesNewKeysOnly(t *testing.T) {
-	w := newWorld(4, 3, breakage{})
+	w := newSimulation(4, 3, disabledMechanisms{})
 	for _, r := range w.replicas {
 		r.limits.MaxKeys = 1
 	}
@@ -279,14 +285,15 @@
 		t.Errorf("a full ledger must refuse a new key: full %v, stuck %v", op.Full, op.Stuck())
 	}
 	if w.replicas["h0"].Keys() != 1 {
-		t.Error("the old key was dropped")
+		t.Error("the existing key was removed")
 	}
 }
 
-// TestMemoryOfAnswersIsBounded stores one large answer: a new key is refused,
-// a recovered replica counts the same bytes, and expiry frees them.
+// TestMemoryOfAnswersIsBounded stores one large answer and checks that new keys are
+// then refused, that a recovered replica counts the same number of bytes, and that
+// expiry frees them.
 func TestMemoryOfAnswersIsBounded(t *testing.T) {
-	w := newWorld(4, 3, breakage{})
+	w := newSimulation(4, 3, disabledMechanisms{})
 	for _, r := range w.replicas {
 		r.limits.MaxBytes = 100
 	}
--- a/internal/core/ledger/op.go
+++ b/internal/core/ledger/op.go
@@ -8,14 +8,14 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// OpKind says what an operation does to a key.
+// OpKind is the kind of an operation on a key.
 type OpKind int
 
 // Operations.
 const (
-	OpClaim   OpKind = iota // take the key for an attempt
-	OpFinish                // record the answer of the attempt that holds it
-	OpRelease               // give the key back: the attempt provably did not run
+	OpClaim   OpKind = iota // claim the key for an attempt
+	OpFinish                // record the answer of the attempt that holds the claim
+	OpRelease               // release the key: the attempt provably did not run
 )
 
 // Result is the result of an operation.
@@ -25,31 +25,32 @@
 const (
 	Pending  Result = iota
 	Won             // the operation's value was accepted by a majority
-	Taken           // the key belongs to another attempt; see Op.Value
+	Taken           // the key is claimed by another attempt; see Op.Value
 	Reused          // the key was used for a different request
-	Forgot          // the key is older than the ledger's memory
-	Conflict        // finish or release of an attempt that does not hold the key
+	Forgot          // the key was issued before the generation's birth, or its retention is over
+	Conflict        // finish or release of an attempt that does not hold the claim
 )
 
-// Op is one operation by a proposer. It is driven by Start, Handle and Retry.
+// Op is one operation by a proposer. Start, Handle and Retry return the messages to
+// send.
 type Op struct {
 	Kind    OpKind
 	Key     string
 	Attempt string
-	Owner   string // host that works on the attempt
+	Owner   string // host that executes the attempt
 	Digest  []byte // identifies the request
 	Answer  *pb.LedgerAnswer
-	// IssuedMS is when the key was issued; RetentionMS how long it is kept.
+	// IssuedMS is when the key was issued; RetentionMS is how long the key is retained.
 	IssuedMS    int64
 	RetentionMS int64
 	NowMS       int64
-	// Abandoned tells whether an attempt is one that this proposer gave up
-	// before it was dispatched, so that its claim may be taken over.
+	// Abandoned reports whether this proposer gave up an attempt before dispatching it,
+	// so that its claim may be taken over.
 	Abandoned func(attempt string) bool
 
 	Result Result
 	Value  *pb.LedgerValue // newest value seen
-	Full   bool            // a replica refused for want of room
+	Full   bool            // a replica refused because its memory is full
 
 	proposer   string
 	members    []string
@@ -63,15 +64,15 @@
 	wins       bool
 }
 
-// Start begins the operation. proposer is unique to this life of the process.
+// Start begins the operation. proposer is unique to one run of the process.
 func (o *Op) Start(proposer string, members []string) []*pb.LedgerMessage {
 	o.proposer, o.members = proposer, members
 	return o.Retry()
 }
 
-// Follow begins the operation right after a claim that was won by the same
-// proposer. The claim's accepts promised the next ballot as well, so its votes
-// stand for this operation's promises and the first phase is left out.
+// Follow begins the operation directly after a successful claim by the same
+// proposer. The claim's accepts also promised the next ballot, so its votes serve
+// as this operation's promises and the first phase is skipped.
 func (o *Op) Follow(claim *Op) []*pb.LedgerMessage {
 	o.proposer, o.members, o.highest = claim.proposer, claim.members, claim.highest+1
 	o.ballot = nextBallot(claim.ballot)
@@ -83,7 +84,7 @@
 	return o.sendAccepts()
 }
 
-// nextBallot is the ballot that an accept promises beside its own.
+// nextBallot returns the ballot that an accept of b promises in addition.
 func nextBallot(b *pb.Ballot) *pb.Ballot {
 	return &pb.Ballot{Round: b.Round + 1, Proposer: b.Proposer}
 }
@@ -97,7 +98,7 @@
 	})
 }
 
-// Retry begins again with a higher ballot.
+// Retry restarts the operation with a higher ballot.
 func (o *Op) Retry() []*pb.LedgerMessage {
 	o.highest++
 	o.ballot = &pb.Ballot{Round: o.highest, Proposer: o.proposer}
@@ -107,7 +108,7 @@
 	return o.broadcast(&pb.LedgerMessage{Kind: uint32(Prepare)})
 }
 
-// Stuck reports whether the present ballot can no longer reach a majority.
+// Stuck reports whether the current ballot can no longer reach a majority.
 func (o *Op) Stuck() bool {
 	return o.Result == Pending && len(o.members)-len(o.refused) < majority(len(o.members))
 }
@@ -123,7 +124,7 @@
 	return out
 }
 
-// Handle takes a replica's reply and returns what to send next.
+// Handle processes a replica's reply and returns the messages to send next.
 func (o *Op) Handle(m *pb.LedgerMessage) []*pb.LedgerMessage {
 	if o.Result != Pending || !proto.Equal(m.Ballot, o.ballot) {
 		return nil
@@ -142,7 +143,7 @@
 		return nil
 	}
 	o.votes[m.From] = m
-	votes := consistent(o.votes)
+	votes := consistentVotes(o.votes)
 	if len(votes) < majority(len(o.members)) {
 		return nil
 	}
@@ -160,7 +161,7 @@
 	var accepted *pb.Ballot
 	var current *pb.LedgerValue
 	for _, v := range votes {
-		if less(accepted, v.Accepted) {
+		if ballotLess(accepted, v.Accepted) {
 			accepted, current = v.Accepted, v.Value
 		}
 	}
@@ -174,11 +175,11 @@
 	return o.sendAccepts()
 }
 
-// nextValue applies the operation to the current value. It sets Result when
+// nextValue returns the value to write, given the current one. It sets Result if
 // nothing is to be written.
 func (o *Op) nextValue(current *pb.LedgerValue, birthMS int64) *pb.LedgerValue {
 	if o.Kind == OpClaim {
-		return o.claimOn(current, birthMS)
+		return o.nextClaim(current, birthMS)
 	}
 	if current.GetAttempt() != o.Attempt {
 		o.Result = Conflict
@@ -198,7 +199,7 @@
 	return next
 }
 
-func (o *Op) claimOn(current *pb.LedgerValue, birthMS int64) *pb.LedgerValue {
+func (o *Op) nextClaim(current *pb.LedgerValue, birthMS int64) *pb.LedgerValue {
 	state := State(current.GetState())
 	switch {
 	case state == Free && o.IssuedMS < birthMS:
@@ -214,7 +215,7 @@
 		// The claim of an attempt that this proposer never dispatched.
 	case state == Claimed || state == Done:
 		o.wins = false
-		return current // written back, so that the claim found is a majority's
+		return current // written back, so that a majority holds the claim
 	}
 	o.wins = true
 	return &pb.LedgerValue{
@@ -232,7 +233,7 @@
 	o.Result = Taken
 }
 
-// Queries returns the messages that read a key without a promise.
+// Queries returns the messages that read a key without requesting a promise.
 func Queries(key, proposer string, members []string) []*pb.LedgerMessage {
 	var out []*pb.LedgerMessage
 	for _, id := range members {
--- a/internal/core/ledger/recovery.go
+++ b/internal/core/ledger/recovery.go
@@ -6,27 +6,27 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// recovery is the state of a partition that does not vote yet.
+// recovery is the state of a partition that is recovering and does not vote yet.
 type recovery struct {
-	nonce          uint64 // names this life of the replica
-	seenGeneration uint64 // highest generation heard of
-	told           map[string]*pb.LedgerMessage
+	nonce          uint64 // identifies this recovery of the replica
+	seenGeneration uint64 // highest generation received
+	statuses       map[string]*pb.LedgerMessage
 	joining        bool
 	generation     uint64 // generation being joined
 	incarnation    uint64
-	states         map[string]*pb.LedgerMessage // last chunk of each, when complete
+	states         map[string]*pb.LedgerMessage // generation and incarnations of each replica whose state was read completely
 	cursors        map[string]string
 	entries        map[string]*entry // merged from all chunks
 	vector         map[string]uint64
-	promisedForm   uint64 // formation promised to
-	promisedAt     int64
-	forming        uint64 // formation this replica coordinates
+	promisedForm   uint64 // generation whose formation was promised
+	promisedAt     int64  // time of that promise, in ms
+	forming        uint64 // generation that this replica coordinates the formation of
 	formVotes      map[string]uint64
-	nextAt         int64
-	asked          bool
+	nextAt         int64 // earliest time of the next recovery message, in ms
+	joinProgress   bool  // the join has progressed since the last Tick
 }
 
-// Tick returns the messages that recovery needs now.
+// Tick returns the recovery messages to send now.
 func (r *Replica) Tick(now int64) []*pb.LedgerMessage {
 	var out []*pb.LedgerMessage
 	for n := uint32(0); n < Slots; n++ {
@@ -40,26 +40,27 @@
 	return out
 }
 
-// recover repeats the present phase, or starts anew.
+// recover repeats the current phase of the recovery, or restarts it if the join has
+// made no progress since the last call.
 func (r *Replica) recover(s *slot, now int64) []*pb.LedgerMessage {
 	if len(s.members) == 1 {
 		r.activate(s, uint64(now), now+r.limits.SkewMS)
 		return nil
 	}
 	if s.rec.promisedForm != 0 && now > s.rec.promisedAt+10*r.limits.RetryMS {
-		r.forget(s) // like a crash: the promise to form is void with the nonce
+		r.reset(s) // as after a crash: the promise to form is void with its nonce
 	}
-	if s.rec.joining && s.rec.asked {
-		s.rec.asked = false
+	if s.rec.joining && s.rec.joinProgress {
+		s.rec.joinProgress = false
 		return r.joinMessages(s)
 	}
 	if out := r.maybeForm(s, now); out != nil {
 		return out
 	}
 	seen := s.rec.seenGeneration
-	s.rec.told = map[string]*pb.LedgerMessage{}
+	s.rec.statuses = map[string]*pb.LedgerMessage{}
 	s.rec.joining, s.rec.states = false, nil
-	return r.toOthers(s, &pb.LedgerMessage{Kind: uint32(Ask), Nonce: s.rec.nonce, Generation: seen})
+	return r.toOthers(s, &pb.LedgerMessage{Kind: uint32(RecoveryQuery), Nonce: s.rec.nonce, Generation: seen})
 }
 
 func (r *Replica) toOthers(s *slot, m *pb.LedgerMessage) []*pb.LedgerMessage {
@@ -79,11 +80,11 @@
 	}
 }
 
-// ask tells a recovering replica which incarnation of it was known last. A
-// replica that hears of a higher generation leaves its own.
-func (r *Replica) ask(s *slot, m, reply *pb.LedgerMessage) {
-	r.hear(s, m.Generation)
-	reply.Kind = uint32(Told)
+// handleRecoveryQuery replies with the last known incarnation of a recovering replica. If the
+// message carries a higher generation, this replica leaves its own.
+func (r *Replica) handleRecoveryQuery(s *slot, m, reply *pb.LedgerMessage) {
+	r.observeGeneration(s, m.Generation)
+	reply.Kind = uint32(RecoveryStatus)
 	s.stamp(reply)
 	reply.Incarnation = s.vector[m.From]
 	if !s.active {
@@ -91,44 +92,46 @@
 	}
 }
 
-// hear notes a generation that was formed.
-func (r *Replica) hear(s *slot, generation uint64) {
+// observeGeneration records a generation that was formed. A replica that is active
+// in a lower one restarts its recovery.
+func (r *Replica) observeGeneration(s *slot, generation uint64) {
 	if s.active && generation > s.generation {
-		r.forget(s)
+		r.reset(s)
 	}
 	s.rec.seenGeneration = max(s.rec.seenGeneration, generation)
 }
 
-// HandleReply takes the answer to a recovery message and returns what to send next.
+// HandleReply processes the reply to a recovery message and returns the messages to
+// send next.
 func (r *Replica) HandleReply(m *pb.LedgerMessage, now int64) []*pb.LedgerMessage {
 	s := r.slots[m.Slot]
 	if s == nil || s.active || m.Nonce != s.rec.nonce {
 		return nil
 	}
 	switch Kind(m.Kind) {
-	case Told:
-		return r.told(s, m, now)
+	case RecoveryStatus:
+		return r.handleRecoveryStatus(s, m, now)
 	case JoinState:
-		return r.joinState(s, m)
+		return r.handleJoinState(s, m)
 	case FormPromise:
-		return r.formPromise(s, m, now)
+		return r.handleFormPromise(s, m, now)
 	}
 	return nil
 }
 
-func (r *Replica) told(s *slot, m *pb.LedgerMessage, now int64) []*pb.LedgerMessage {
-	if s.rec.joining || s.rec.told == nil {
+func (r *Replica) handleRecoveryStatus(s *slot, m *pb.LedgerMessage, now int64) []*pb.LedgerMessage {
+	if s.rec.joining || s.rec.statuses == nil {
 		return nil
 	}
 	s.rec.seenGeneration = max(s.rec.seenGeneration, m.Generation)
-	s.rec.told[m.From] = m
+	s.rec.statuses[m.From] = m
 	active, incarnation, generation := 0, uint64(0), uint64(0)
-	for _, t := range s.rec.told {
+	for _, t := range s.rec.statuses {
 		if t.Active {
 			generation = max(generation, t.Generation)
 		}
 	}
-	for _, t := range s.rec.told {
+	for _, t := range s.rec.statuses {
 		if t.Active && t.Generation == generation {
 			active++
 			incarnation = max(incarnation, t.Incarnation)
@@ -137,7 +140,7 @@
 	if active < majority(len(s.members)) || generation < s.rec.promisedForm {
 		return r.maybeForm(s, now)
 	}
-	s.rec.joining, s.rec.asked = true, true
+	s.rec.joining, s.rec.joinProgress = true, true
 	s.rec.generation, s.rec.incarnation = generation, incarnation+1
 	s.rec.states = map[string]*pb.LedgerMessage{}
 	s.rec.cursors = map[string]string{}
@@ -160,9 +163,9 @@
 	return out
 }
 
-// join registers a recovering replica's new incarnation and, in the same step,
-// reads a part of the state for it.
-func (r *Replica) join(s *slot, m, reply *pb.LedgerMessage) {
+// handleJoin registers a recovering replica's new incarnation and returns a chunk of the
+// state in the same step.
+func (r *Replica) handleJoin(s *slot, m, reply *pb.LedgerMessage) {
 	reply.Kind = uint32(JoinState)
 	if s.active && m.Generation == s.generation {
 		s.vector[m.From] = max(s.vector[m.From], m.Incarnation)
@@ -173,11 +176,11 @@
 	reply.Incarnation = m.Incarnation
 }
 
-func (r *Replica) joinState(s *slot, m *pb.LedgerMessage) []*pb.LedgerMessage {
+func (r *Replica) handleJoinState(s *slot, m *pb.LedgerMessage) []*pb.LedgerMessage {
 	if !s.rec.joining || !m.Ok || m.Generation != s.rec.generation || m.Incarnation != s.rec.incarnation {
 		return nil
 	}
-	s.rec.asked = true
+	s.rec.joinProgress = true
 	for _, le := range m.Entries {
 		s.rec.merge(le)
 	}
@@ -190,7 +193,7 @@
 		})}
 	}
 	s.rec.states[m.From] = &pb.LedgerMessage{From: m.From, Generation: m.Generation, Vector: m.Vector}
-	votes := consistent(s.rec.states)
+	votes := consistentVotes(s.rec.states)
 	if len(votes) < majority(len(s.members)) || s.rec.generation < s.rec.promisedForm {
 		return nil
 	}
@@ -203,18 +206,18 @@
 	return nil
 }
 
-// merge takes over an entry. Merging the entries of a replica whose vote is
-// dropped later does no harm: promises and accepted values only rise.
+// merge merges an entry into the recovered state. Entries of a replica whose vote is
+// dropped later may stay: promised and accepted ballots only increase.
 func (c *recovery) merge(le *pb.LedgerEntry) {
 	e := c.entries[le.Key]
 	if e == nil {
 		e = &entry{}
 		c.entries[le.Key] = e
 	}
-	if less(e.promised, le.Promised) {
+	if ballotLess(e.promised, le.Promised) {
 		e.promised = le.Promised
 	}
-	if less(e.accepted, le.Accepted) {
+	if ballotLess(e.accepted, le.Accepted) {
 		e.accepted, e.value = le.Accepted, le.Value
 	}
 }
@@ -232,21 +235,21 @@
 	s.vector, s.keys, s.floor = vector, keys, floor
 	r.keys += len(keys)
 	for _, e := range keys {
-		r.bytes += size(e.value)
+		r.bytes += answerSize(e.value)
 	}
 }
 
-// activate lets the partition vote, in the generation, with no keys.
+// activate makes the partition vote in the generation, with no keys.
 func (r *Replica) activate(s *slot, generation uint64, birthMS int64) {
-	r.forget(s)
+	r.reset(s)
 	s.active, s.generation, s.birthMS = true, generation, birthMS
 }
 
-// maybeForm starts the formation of a new generation when a majority of the
-// replicas, this one included, is known to be recovering.
+// maybeForm starts the formation of a new generation if a majority of the replicas,
+// including this one, is known to be recovering.
 func (r *Replica) maybeForm(s *slot, now int64) []*pb.LedgerMessage {
 	recovering := 1
-	for _, t := range s.rec.told {
+	for _, t := range s.rec.statuses {
 		if !t.Active {
 			recovering++
 		}
@@ -254,7 +257,7 @@
 	if recovering < majority(len(s.members)) || s.rec.forming != 0 || s.rec.promisedForm != 0 {
 		return nil
 	}
-	// The number is higher than every generation heard of and used by no other member.
+	// Higher than every generation received, and distinct from those of all other members.
 	base := max(uint64(now), s.rec.seenGeneration/uint64(len(s.members))+1)
 	gen := base*uint64(len(s.members)) + uint64(indexOf(s.members, r.id))
 	s.rec.forming, s.rec.promisedForm, s.rec.promisedAt = gen, gen, now
@@ -271,8 +274,8 @@
 	return 0
 }
 
-// formPrepare promises a formation when this replica is recovering too.
-func (r *Replica) formPrepare(s *slot, m, reply *pb.LedgerMessage, now int64) {
+// handleFormPrepare promises the formation of a generation if this replica is recovering.
+func (r *Replica) handleFormPrepare(s *slot, m, reply *pb.LedgerMessage, now int64) {
 	reply.Kind = uint32(FormPromise)
 	reply.Active = s.active
 	reply.Generation = m.Generation
@@ -285,7 +288,7 @@
 	reply.Incarnation = s.rec.nonce
 }
 
-func (r *Replica) formPromise(s *slot, m *pb.LedgerMessage, now int64) []*pb.LedgerMessage {
+func (r *Replica) handleFormPromise(s *slot, m *pb.LedgerMessage, now int64) []*pb.LedgerMessage {
 	if s.rec.forming == 0 || m.Generation != s.rec.forming || !m.Ok {
 		return nil
 	}
@@ -299,10 +302,11 @@
 	return out
 }
 
-// formed puts a generation in force that this replica promised in this life.
-func (r *Replica) formed(s *slot, m *pb.LedgerMessage) {
+// handleFormed activates a generation whose formation this replica has promised under its
+// current nonce.
+func (r *Replica) handleFormed(s *slot, m *pb.LedgerMessage) {
 	if s.active {
-		r.hear(s, m.Generation)
+		r.observeGeneration(s, m.Generation)
 		return
 	}
 	if s.rec.promisedForm == m.Generation && m.Nonces[r.id] == s.rec.nonce {
--- a/internal/core/ledger/replica.go
+++ b/internal/core/ledger/replica.go
@@ -10,15 +10,15 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Limits bounds a replica.
+// Limits configures the bounds of a replica.
 type Limits struct {
-	MaxKeys  int   // keys over all partitions
-	MaxBytes int   // stored answers over all partitions
+	MaxKeys  int   // over all partitions
+	MaxBytes int   // of stored answers over all partitions; 0 for no bound
 	SkewMS   int64 // bound on the difference between clocks
-	RetryMS  int64 // interval of the recovery's messages
+	RetryMS  int64 // least interval between recovery messages
 }
 
-// Replica holds this host's part of the ledger. It is not safe for concurrent use.
+// Replica is this host's replica of the ledger. It is not safe for concurrent use.
 type Replica struct {
 	id     string
 	limits Limits
@@ -30,13 +30,13 @@
 
 // entry is the register of one key.
 type entry struct {
-	promised *pb.Ballot
-	accepted *pb.Ballot
-	value    *pb.LedgerValue
-	touched  int64
+	promised  *pb.Ballot
+	accepted  *pb.Ballot
+	value     *pb.LedgerValue
+	updatedMS int64
 }
 
-// slot is one partition on this replica.
+// slot is one partition held by this replica.
 type slot struct {
 	number     uint32
 	members    []string
@@ -45,51 +45,51 @@
 	birthMS    int64
 	vector     map[string]uint64
 	keys       map[string]*entry
-	// floor is the highest ballot promised for a key that was dropped. An
-	// absent key counts as promised to it, so that an operation that was held
-	// up for longer than a key lives cannot complete.
+	// floor is the highest ballot promised for any key that has expired. It counts as
+	// promised for every absent key, so that an operation delayed for longer than a
+	// key's lifetime cannot complete.
 	floor *pb.Ballot
 	rec   recovery
 }
 
-// add returns a new entry for an absent key.
-func (r *Replica) add(s *slot, key string) *entry {
+// addEntry adds an entry for an absent key and returns it.
+func (r *Replica) addEntry(s *slot, key string) *entry {
 	e := &entry{promised: s.floor}
 	s.keys[key] = e
 	r.keys++
 	return e
 }
 
-// NewReplica returns the replica of host id, which has no memory: every
-// partition recovers before it votes.
+// NewReplica returns the replica of host id, without state: every partition
+// recovers before it votes.
 func NewReplica(id string, limits Limits, seed int64) *Replica {
 	return &Replica{id: id, limits: limits, rnd: rand.New(rand.NewSource(seed)), slots: map[uint32]*slot{}}
 }
 
-// SetLimits changes the bounds on the keys and the bytes of answers held.
+// SetLimits sets the bounds on the number of keys and on the bytes of answers held.
 func (r *Replica) SetLimits(maxKeys, maxBytes int) {
 	r.limits.MaxKeys, r.limits.MaxBytes = maxKeys, maxBytes
 }
 
-// full reports whether there is no room for a new key. Keys that are held
-// already, and the answers of claims that were won, are always taken.
+// full reports whether there is no room for a new key. Operations on keys already
+// held, including the answers of successful claims, are accepted regardless.
 func (r *Replica) full() bool {
 	return r.keys >= r.limits.MaxKeys || r.limits.MaxBytes > 0 && r.bytes >= r.limits.MaxBytes
 }
 
-// size is the memory that a value's answer takes.
-func size(v *pb.LedgerValue) int { return len(v.GetAnswer().GetBody()) }
+// answerSize returns the size in bytes of a value's answer.
+func answerSize(v *pb.LedgerValue) int { return len(v.GetAnswer().GetBody()) }
 
-// drop forgets the partition's keys.
-func (r *Replica) drop(s *slot) {
+// subtractUsage subtracts the partition's keys and answers from the totals.
+func (r *Replica) subtractUsage(s *slot) {
 	r.keys -= len(s.keys)
 	for _, e := range s.keys {
-		r.bytes -= size(e.value)
+		r.bytes -= answerSize(e.value)
 	}
 }
 
-// SetMembers fixes the replica sets. Partitions that this host holds already
-// with the same set keep their state.
+// SetMembers sets the members that replica sets are chosen from. Partitions whose
+// replica set does not change keep their state.
 func (r *Replica) SetMembers(members []Member, replicas int) {
 	for n := uint32(0); n < Slots; n++ {
 		set := ReplicaSet(members, n, replicas)
@@ -98,13 +98,13 @@
 			continue
 		}
 		if s != nil {
-			r.drop(s)
+			r.subtractUsage(s)
 			delete(r.slots, n)
 		}
 		if contains(set, r.id) {
 			s := &slot{number: n, members: set}
 			r.slots[n] = s
-			r.forget(s)
+			r.reset(s)
 		}
 	}
 }
@@ -121,9 +121,9 @@
 	return true
 }
 
-// forget puts the partition into the state of a replica that just restarted.
-func (r *Replica) forget(s *slot) {
-	r.drop(s)
+// reset puts the partition into the state of a replica that has just restarted.
+func (r *Replica) reset(s *slot) {
+	r.subtractUsage(s)
 	s.active, s.birthMS = false, 0
 	s.vector = map[string]uint64{}
 	s.keys = map[string]*entry{}
@@ -135,10 +135,10 @@
 // Keys returns the number of keys held.
 func (r *Replica) Keys() int { return r.keys }
 
-// Bytes returns the bytes of the stored answers.
+// Bytes returns the size in bytes of the stored answers.
 func (r *Replica) Bytes() int { return r.bytes }
 
-// Active returns how many of this host's partitions vote, and how many it has.
+// Active returns how many of this host's partitions vote, and how many it holds.
 func (r *Replica) Active() (active, total int) {
 	for _, s := range r.slots {
 		if s.active {
@@ -148,7 +148,7 @@
 	return active, len(r.slots)
 }
 
-// Handle answers a request message; nil when there is nothing to say.
+// Handle processes a request message and returns the reply; nil if there is none.
 func (r *Replica) Handle(m *pb.LedgerMessage, now int64) *pb.LedgerMessage {
 	s := r.slots[m.Slot]
 	if s == nil {
@@ -159,19 +159,19 @@
 	}
 	switch Kind(m.Kind) {
 	case Prepare:
-		r.prepare(s, m, reply, now)
+		r.handlePrepare(s, m, reply, now)
 	case Accept:
-		r.accept(s, m, reply, now)
+		r.handleAccept(s, m, reply, now)
 	case Query:
-		r.query(s, m, reply)
-	case Ask:
-		r.ask(s, m, reply)
+		r.handleQuery(s, m, reply)
+	case RecoveryQuery:
+		r.handleRecoveryQuery(s, m, reply)
 	case Join:
-		r.join(s, m, reply)
+		r.handleJoin(s, m, reply)
 	case FormPrepare:
-		r.formPrepare(s, m, reply, now)
+		r.handleFormPrepare(s, m, reply, now)
 	case Formed:
-		r.formed(s, m)
+		r.handleFormed(s, m)
 		return nil
 	default:
 		return nil
@@ -179,7 +179,8 @@
 	return reply
 }
 
-// stamp adds what every vote carries: generation, birth and known incarnations.
+// stamp sets the fields that every vote carries: activity, generation, birth time
+// and known incarnations.
 func (s *slot) stamp(reply *pb.LedgerMessage) {
 	reply.Active = s.active
 	reply.Generation = s.generation
@@ -192,7 +193,7 @@
 	reply.Reason = uint32(reason)
 }
 
-func (r *Replica) prepare(s *slot, m, reply *pb.LedgerMessage, now int64) {
+func (r *Replica) handlePrepare(s *slot, m, reply *pb.LedgerMessage, now int64) {
 	reply.Kind = uint32(Promise)
 	s.stamp(reply)
 	if !s.active {
@@ -205,18 +206,18 @@
 			refuse(reply, ReasonFull)
 			return
 		}
-		e = r.add(s, m.Key)
+		e = r.addEntry(s, m.Key)
 	}
-	if !less(e.promised, m.Ballot) {
+	if !ballotLess(e.promised, m.Ballot) {
 		refuse(reply, ReasonBallot)
 		reply.Accepted = e.promised
 		return
 	}
-	e.promised, e.touched = m.Ballot, now
+	e.promised, e.updatedMS = m.Ballot, now
 	reply.Ok, reply.Accepted, reply.Value = true, e.accepted, e.value
 }
 
-func (r *Replica) accept(s *slot, m, reply *pb.LedgerMessage, now int64) {
+func (r *Replica) handleAccept(s *slot, m, reply *pb.LedgerMessage, now int64) {
 	reply.Kind = uint32(Accepted)
 	s.stamp(reply)
 	if !s.active {
@@ -229,23 +230,23 @@
 	}
 	e := s.keys[m.Key]
 	if e == nil {
-		e = r.add(s, m.Key)
+		e = r.addEntry(s, m.Key)
 	}
-	if less(m.Ballot, e.promised) {
+	if ballotLess(m.Ballot, e.promised) {
 		refuse(reply, ReasonBallot)
 		reply.Accepted = e.promised
 		return
 	}
-	r.bytes += size(m.Value) - size(e.value)
-	e.promised, e.accepted, e.value, e.touched = m.Ballot, m.Ballot, m.Value, now
-	if less(e.promised, m.Accepted) {
+	r.bytes += answerSize(m.Value) - answerSize(e.value)
+	e.promised, e.accepted, e.value, e.updatedMS = m.Ballot, m.Ballot, m.Value, now
+	if ballotLess(e.promised, m.Accepted) {
 		e.promised = m.Accepted // the proposer's next ballot, promised in the same step
 	}
 	reply.Ok = true
 }
 
-// query returns the accepted value without a promise.
-func (r *Replica) query(s *slot, m, reply *pb.LedgerMessage) {
+// handleQuery returns the accepted value without giving a promise.
+func (r *Replica) handleQuery(s *slot, m, reply *pb.LedgerMessage) {
 	reply.Kind = uint32(QueryReply)
 	s.stamp(reply)
 	reply.Ok = s.active
@@ -254,24 +255,24 @@
 	}
 }
 
-// emptyLifetimeMS is how long a key stays that was promised but never accepted.
+// emptyLifetimeMS is how long a key is kept that was promised but never accepted.
 const emptyLifetimeMS = 60_000
 
-// Expire drops the keys whose retention is over, with the clocks' difference
-// on top. It returns how many it dropped.
+// Expire removes the keys whose retention, plus the bound on the difference between
+// clocks, is over. It returns how many keys it removed.
 func (r *Replica) Expire(now int64) int {
 	dropped := 0
 	for _, s := range r.slots {
 		for key, e := range s.keys {
-			end := e.touched + emptyLifetimeMS
+			end := e.updatedMS + emptyLifetimeMS
 			if e.value != nil {
 				end = e.value.ExpiresMs + r.limits.SkewMS
 			}
 			if now > end {
-				if less(s.floor, e.promised) {
+				if ballotLess(s.floor, e.promised) {
 					s.floor = e.promised
 				}
-				r.bytes -= size(e.value)
+				r.bytes -= answerSize(e.value)
 				delete(s.keys, key)
 				dropped++
 			}
@@ -293,11 +294,12 @@
 	return keys
 }
 
-// stateChunkBytes bounds the entries of one state message.
+// stateChunkBytes is the largest size of the entries in one state message, unless a
+// single entry exceeds it.
 const stateChunkBytes = 512 << 10
 
-// chunk returns the entries after cursor that fit one message. The floor
-// travels with the first chunk, under the empty key.
+// chunk returns the entries after cursor that fit into one message. The first chunk
+// also contains the floor, under the empty key.
 func (s *slot) chunk(cursor string) (entries []*pb.LedgerEntry, more bool) {
 	size := 0
 	if cursor == "" {
--- a/internal/core/ledger/simulation_test.go
+++ b/internal/core/ledger/simulation_test.go
@@ -10,13 +10,14 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// breakage switches one mechanism off, from outside the product code.
-type breakage struct {
+// disabledMechanisms selects the mechanisms that a simulation disables, without
+// changes to the code under test.
+type disabledMechanisms struct {
 	vectors    bool // votes carry no incarnations
-	recovery   bool // a restarted replica votes at once
-	majority   bool // one replica decides
-	fence      bool // an accept is taken below the promised ballot
-	generation bool // an accept of another generation is taken
+	recovery   bool // a restarted replica votes immediately
+	majority   bool // operations use a single replica
+	fence      bool // an accept below the promised ballot is accepted
+	generation bool // an accept of another generation is accepted
 }
 
 const (
@@ -24,10 +25,10 @@
 	testSkew = 1000
 )
 
-// world is a group of replicas and proposers of one key under virtual time.
-type world struct {
+// simulation runs the replicas and proposers of one key in virtual time.
+type simulation struct {
 	rnd      *rand.Rand
-	broken   breakage
+	disabled disabledMechanisms
 	now      int64
 	ids      []string
 	replicas map[string]*Replica
@@ -40,16 +41,16 @@
 	outcomes map[Result]int
 }
 
-func newWorld(seed int64, n int, b breakage) *world {
-	w := &world{
-		rnd: rand.New(rand.NewSource(seed)), broken: b, now: 1_000_000,
+func newSimulation(seed int64, n int, b disabledMechanisms) *simulation {
+	w := &simulation{
+		rnd: rand.New(rand.NewSource(seed)), disabled: b, now: 1_000_000,
 		replicas: map[string]*Replica{}, ops: map[string]*Op{}, answers: map[string]bool{}, outcomes: map[Result]int{},
 	}
 	for i := range n {
 		w.ids = append(w.ids, fmt.Sprintf("h%d", i))
 	}
 	for _, id := range w.ids {
-		w.boot(id)
+		w.startReplica(id)
 	}
 	for !w.allActive() {
 		w.advance(50)
@@ -62,23 +63,24 @@
 	return w
 }
 
-// boot starts a replica without memory. Only the key's partition is kept.
-func (w *world) boot(id string) {
+// startReplica starts or restarts a replica without state. It holds only the
+// partition of the test key.
+func (w *simulation) startReplica(id string) {
 	old := w.replicas[id]
 	r := NewReplica(id, Limits{MaxKeys: 100, SkewMS: testSkew, RetryMS: 100}, w.rnd.Int63())
 	s := &slot{number: SlotOf(testKey), members: w.ids}
 	r.slots[s.number] = s
-	r.forget(s)
+	r.reset(s)
 	w.replicas[id] = r
-	if w.broken.recovery && old != nil {
+	if w.disabled.recovery && old != nil {
 		s := w.slot(old)
 		r.activate(w.slot(r), s.generation, s.birthMS)
 	}
 }
 
-func (w *world) slot(r *Replica) *slot { return r.slots[SlotOf(testKey)] }
+func (w *simulation) slot(r *Replica) *slot { return r.slots[SlotOf(testKey)] }
 
-func (w *world) allActive() bool {
+func (w *simulation) allActive() bool {
 	for _, r := range w.replicas {
 		if !w.slot(r).active {
 			return false
@@ -87,31 +89,31 @@
 	return true
 }
 
-func (w *world) advance(ms int64) {
+func (w *simulation) advance(ms int64) {
 	w.now += ms
 	for _, id := range w.ids {
 		w.net = append(w.net, w.replicas[id].Tick(w.now)...)
 	}
 }
 
-// deliver hands the i-th message to its receiver. Messages are copied, as over
-// a network.
-func (w *world) deliver(i int) {
+// deliver delivers the i-th message in transit. Messages are copied, as over a
+// network.
+func (w *simulation) deliver(i int) {
 	m := w.net[i]
 	w.net = slices.Delete(w.net, i, i+1)
-	w.hand(proto.Clone(m).(*pb.LedgerMessage))
+	w.receive(proto.Clone(m).(*pb.LedgerMessage))
 }
 
-func (w *world) hand(m *pb.LedgerMessage) {
+func (w *simulation) receive(m *pb.LedgerMessage) {
 	if op := w.ops[m.To]; op != nil {
-		if w.broken.vectors {
+		if w.disabled.vectors {
 			m.Vector = nil
 		}
-		if w.broken.generation {
+		if w.disabled.generation {
 			m.Generation = op.generation
 		}
 		w.net = append(w.net, op.Handle(m)...)
-		w.settle(m.To, op)
+		w.handleResult(m.To, op)
 		return
 	}
 	r := w.replicas[m.To]
@@ -119,47 +121,47 @@
 		return
 	}
 	switch Kind(m.Kind) {
-	case Told, JoinState, FormPromise:
+	case RecoveryStatus, JoinState, FormPromise:
 		w.net = append(w.net, r.HandleReply(m, w.now)...)
 		return
 	case Accept:
-		w.weaken(w.slot(r), m)
+		w.weakenAccept(w.slot(r), m)
 	}
 	if reply := r.Handle(m, w.now); reply != nil {
 		w.net = append(w.net, reply)
 	}
 }
 
-func (w *world) weaken(s *slot, m *pb.LedgerMessage) {
-	if w.broken.generation {
+func (w *simulation) weakenAccept(s *slot, m *pb.LedgerMessage) {
+	if w.disabled.generation {
 		m.Generation = s.generation
 	}
-	if e := s.keys[m.Key]; w.broken.fence && e != nil {
+	if e := s.keys[m.Key]; w.disabled.fence && e != nil {
 		e.promised = nil
 	}
 }
 
-// claim starts an attempt at the key by a new proposer.
-func (w *world) claim(proposer string) *Op { return w.claimFrom(proposer, 0) }
+// claim starts a claim of the key by a new proposer.
+func (w *simulation) claim(proposer string) *Op { return w.claimFrom(proposer, 0) }
 
-// claimFrom starts an attempt with a ballot above the round.
-func (w *world) claimFrom(proposer string, round uint64) *Op {
+// claimFrom starts a claim with a ballot above the given round.
+func (w *simulation) claimFrom(proposer string, round uint64) *Op {
 	op := &Op{
 		highest: round, Kind: OpClaim, Key: testKey, Attempt: "a-" + proposer, Owner: proposer, Digest: []byte("d"),
 		IssuedMS: w.issued, RetentionMS: 1_000_000, NowMS: w.now,
 	}
 	w.ops[proposer] = op
 	members := w.ids
-	if w.broken.majority {
+	if w.disabled.majority {
 		members = w.ids[w.rnd.Intn(len(w.ids)):][:1]
 	}
 	w.net = append(w.net, op.Start(proposer, members)...)
 	return op
 }
 
-// settle acts on a decided operation: a winner is dispatched, or gives the key
-// back without having been.
-func (w *world) settle(proposer string, op *Op) {
+// handleResult processes a decided operation: a successful claim's attempt is
+// dispatched, or its key is released without a dispatch.
+func (w *simulation) handleResult(proposer string, op *Op) {
 	if op.Result == Pending {
 		return
 	}
@@ -180,7 +182,7 @@
 		next.Kind = OpFinish
 	}
 	if w.rnd.Float64() < 0.5 {
-		if w.rnd.Float64() < 0.7 && !w.broken.majority {
+		if w.rnd.Float64() < 0.7 && !w.disabled.majority {
 			w.ops[proposer] = next
 			w.net = append(w.net, next.Follow(op)...)
 			return
@@ -190,9 +192,10 @@
 	}
 }
 
-// run plays one schedule: few proposers, few restarts, some messages held long.
-func (w *world) run(steps, proposers, restarts int) {
-	slow := map[string]float64{}
+// run runs one schedule with few proposers and restarts, in which some links delay
+// messages for long.
+func (w *simulation) run(steps, proposers, restarts int) {
+	holdProbability := map[string]float64{}
 	started := 0
 	for range steps {
 		x := w.rnd.Float64()
@@ -202,20 +205,20 @@
 			w.claim(fmt.Sprintf("p%d", started))
 		case x < 0.11 && restarts > 0:
 			restarts--
-			w.boot(w.ids[w.rnd.Intn(len(w.ids))])
+			w.startReplica(w.ids[w.rnd.Intn(len(w.ids))])
 		case x < 0.14:
 			w.retryStuck()
 		case x < 0.25:
 			w.advance(w.rnd.Int63n(150))
 		case len(w.net) > 0:
-			w.deliverSome(slow)
+			w.deliverSome(holdProbability)
 		}
 	}
-	w.drain()
+	w.finish()
 }
 
-// drain delivers everything that is left, and lets the proposers finish.
-func (w *world) drain() {
+// finish delivers all remaining messages and lets the proposers finish.
+func (w *simulation) finish() {
 	for range 6 {
 		for len(w.net) > 0 {
 			w.deliver(w.rnd.Intn(len(w.net)))
@@ -225,7 +228,7 @@
 	}
 }
 
-func (w *world) retryStuck() {
+func (w *simulation) retryStuck() {
 	for i := 1; i <= 9; i++ {
 		for _, suffix := range []string{"", "'"} {
 			p := fmt.Sprintf("p%d%s", i, suffix)
@@ -236,37 +239,38 @@
 	}
 }
 
-// deliverSome delivers, repeats, drops or holds back one message.
-func (w *world) deliverSome(slow map[string]float64) {
+// deliverSome delivers, duplicates, drops or holds back one message.
+func (w *simulation) deliverSome(holdProbability map[string]float64) {
 	i := w.rnd.Intn(len(w.net))
 	m := w.net[i]
 	link := fmt.Sprint(m.Kind, m.From, m.To)
-	if _, ok := slow[link]; !ok {
-		slow[link] = 0
+	if _, ok := holdProbability[link]; !ok {
+		holdProbability[link] = 0
 		if w.rnd.Float64() < 0.2 {
-			slow[link] = 0.97
+			holdProbability[link] = 0.97
 		}
 	}
 	y := w.rnd.Float64()
 	switch {
-	case y < slow[link]:
+	case y < holdProbability[link]:
 	case y > 0.995:
 		w.net = slices.Delete(w.net, i, i+1)
 	case y > 0.97:
-		w.hand(proto.Clone(m).(*pb.LedgerMessage))
+		w.receive(proto.Clone(m).(*pb.LedgerMessage))
 	default:
 		w.deliver(i)
 	}
 }
 
-// violation says what promise the schedule broke, or "".
-func (w *world) violation() string {
+// violation describes how the schedule violated at-most-once execution; "" if it did
+// not.
+func (w *simulation) violation() string {
 	if len(w.executed) > 1 {
 		return fmt.Sprintf("dispatched %v", w.executed)
 	}
 	for a := range w.answers {
 		if len(w.executed) != 1 || w.executed[0] != a {
-			return fmt.Sprintf("answer of %s, dispatched %v", a, w.executed)
+			return fmt.Sprintf("stored answer of %s, dispatched %v", a, w.executed)
 		}
 	}
 	return ""
--- a/internal/core/ledger/types.go
+++ b/internal/core/ledger/types.go
@@ -11,7 +11,7 @@
 // Slots is the number of partitions of the keys.
 const Slots = 64
 
-// Kind says what a LedgerMessage is.
+// Kind is the kind of a LedgerMessage.
 type Kind uint32
 
 // Message kinds. Each request kind is followed by its reply.
@@ -22,8 +22,8 @@
 	Accepted
 	Query
 	QueryReply
-	Ask
-	Told
+	RecoveryQuery
+	RecoveryStatus
 	Join
 	JoinState
 	FormPrepare
@@ -42,14 +42,14 @@
 	Released
 )
 
-// Reason says why a replica refused.
+// Reason is why a replica refused a request.
 type Reason uint32
 
 // Reasons of a refusal.
 const (
 	ReasonBallot     Reason = iota + 1 // a higher ballot was promised
-	ReasonRecovering                   // the replica has no vote now
-	ReasonFull                         // no room for a new key
+	ReasonRecovering                   // the replica is recovering and does not vote
+	ReasonFull                         // no memory for a new key
 	ReasonGeneration                   // the accept belongs to another generation
 )
 
@@ -62,8 +62,9 @@
 	FailureDomain string
 }
 
-// ReplicaSet returns the members that hold a partition, sorted: chosen by
-// rendezvous hashing, spread over the failure domains as evenly as possible.
+// ReplicaSet returns the sorted IDs of the members that hold a partition. They are
+// chosen by rendezvous hashing and spread over the failure domains as evenly as
+// possible.
 func ReplicaSet(members []Member, slot uint32, replicas int) []string {
 	ranked := append([]Member(nil), members...)
 	score := func(m Member) uint64 {
@@ -75,7 +76,7 @@
 	})
 	want := min(replicas, len(ranked))
 	if want%2 == 0 {
-		want-- // an even set survives no more losses than the odd one below
+		want-- // an even number tolerates no more failures than the next lower odd one
 	}
 	used := map[string]int{}
 	var set []string
@@ -100,17 +101,17 @@
 	return false
 }
 
-// less orders ballots; nil is the lowest.
-func less(a, b *pb.Ballot) bool {
+// ballotLess reports whether ballot a is lower than b; nil is the lowest.
+func ballotLess(a, b *pb.Ballot) bool {
 	if a.GetRound() != b.GetRound() {
 		return a.GetRound() < b.GetRound()
 	}
 	return a.GetProposer() < b.GetProposer()
 }
 
-// consistent drops the votes whose sender's incarnation another vote knows to
-// be dead, and those that are not of the highest generation among them.
-func consistent(votes map[string]*pb.LedgerMessage) []*pb.LedgerMessage {
+// consistentVotes returns the votes of the highest generation among them, without
+// those whose sender's incarnation is superseded according to another vote.
+func consistentVotes(votes map[string]*pb.LedgerMessage) []*pb.LedgerMessage {
 	top := map[string]uint64{}
 	var generation uint64
 	for _, v := range votes {
