--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,7 +1,7 @@
-// Package admission decides which waiting request goes next and which are
-// refused at once. Teams share capacity by weight; a team that asks for less
-// than its share leaves the rest to the others. Within a team the priority of
-// the request decides, then its age.
+// Package admission decides which waiting request is served next and which are
+// refused immediately. Teams share capacity by weight; capacity that a team does
+// not use goes to the others. Within a team, requests are ordered by priority,
+// then by arrival.
 //
 // The order over teams is start-time fair queueing (Goyal, Vin and Cheng,
 // SIGCOMM 1996): a request's start tag is the larger of the virtual time and
@@ -16,12 +16,12 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Waiter is a request that waits for a place.
+// Waiter is a request that waits for a slot at its target.
 type Waiter struct {
 	Team     string
-	Weight   float64 // share of the team
-	Priority int     // within the team; higher goes first
-	Cost     float64 // expected use, in requests of ordinary size
+	Weight   float64 // weight of the team
+	Priority int     // within the team; higher is served first
+	Cost     float64 // expected use, relative to an average request
 	Target   string  // model or service
 	Deadline time.Time
 	Enqueued time.Time
@@ -32,7 +32,7 @@
 	gone   bool
 }
 
-// team is one team's queue, best first.
+// team is one team's queue, in the order in which its requests are served.
 type team struct {
 	waiting []*Waiter
 	finish  float64
@@ -40,53 +40,54 @@
 
 // Queue holds the waiting requests of one host. It is not safe for concurrent use.
 type Queue struct {
-	teams   map[string]*team
-	virtual float64
-	seq     uint64
-	size    int
-	rate    map[string]*drain
-	max     int
+	teams       map[string]*team
+	virtualTime float64
+	seq         uint64
+	size        int
+	drainRates  map[string]*drainRate
+	limit       int
 }
 
-// drain is the moving rate at which a target's requests are taken.
-type drain struct {
+// drainRate is the exponentially decaying rate at which a target's requests are
+// taken from the queue.
+type drainRate struct {
 	perSecond float64
 	last      time.Time
 }
 
 // NewQueue returns a queue that holds at most limit requests.
 func NewQueue(limit int) *Queue {
-	return &Queue{teams: map[string]*team{}, rate: map[string]*drain{}, max: limit}
+	return &Queue{teams: map[string]*team{}, drainRates: map[string]*drainRate{}, limit: limit}
 }
 
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.size }
 
-// Refusal bounds for the time to come back.
+// Bounds of the Retry-After time of a refusal, before the random addition.
 const (
-	minRetry    = 200 * time.Millisecond
-	maxRetry    = 30 * time.Second
-	retryJitter = 0.5 // spread of the time to come back, as a share of it
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
+	retryJitter   = 0.5 // largest random addition, as a fraction of the time
 )
 
-// Offer puts the request into the queue, or refuses it at once when it would
-// wait beyond its deadline or the queue is full. random returns numbers in
-// [0, 1) that spread the time to come back.
+// Offer adds the request to the queue, or refuses it immediately if the queue is
+// full or the estimated wait ends after its deadline. random returns numbers in
+// [0, 1); they spread the Retry-After times of refused requests.
 func (q *Queue) Offer(w *Waiter, now time.Time, random func() float64) error {
 	wait := q.EstimateWait(w, now)
-	if q.size >= q.max {
-		return refuse(failure.Overloaded, wait, random, "%d requests wait already", q.size)
+	if q.size >= q.limit {
+		return refuse(failure.Overloaded, wait, random, "admission queue is full: %d requests are waiting", q.size)
 	}
 	if !w.Deadline.IsZero() && now.Add(wait).After(w.Deadline) {
 		return refuse(failure.Overloaded, wait-w.Deadline.Sub(now), random,
-			"the expected wait of %s is beyond the deadline", wait.Round(time.Millisecond))
+			"the expected wait of %s ends after the request's deadline", wait.Round(time.Millisecond))
 	}
 	q.push(w, now)
 	return nil
 }
 
 func refuse(code failure.Code, after time.Duration, random func() float64, format string, args ...any) error {
-	after = min(max(after, minRetry), maxRetry)
+	after = min(max(after, minRetryAfter), maxRetryAfter)
 	after += time.Duration(retryJitter * random() * float64(after))
 	return failure.New(code, failure.NotRun, format, args...).WithRetryAfter(after)
 }
@@ -108,7 +109,7 @@
 	q.size++
 }
 
-// before orders the requests of one team.
+// before reports whether a is served before b, for two requests of one team.
 func before(a, b *Waiter) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
@@ -116,28 +117,28 @@
 	return a.seq < b.seq
 }
 
-// EstimateWait returns the expected wait of the request: the work that goes
-// before it, over the rate at which its target's requests are taken lately.
+// EstimateWait returns the expected wait of the request: the number of requests
+// served before it, divided by the recent drain rate of its target.
 func (q *Queue) EstimateWait(w *Waiter, now time.Time) time.Duration {
-	d := q.rate[w.Target]
+	d := q.drainRates[w.Target]
 	ahead := q.ahead(w)
 	if ahead == 0 {
 		return 0
 	}
-	rate := minRate
+	rate := minDrainPerSecond
 	if d != nil {
-		rate = max(minRate, d.current(now))
+		rate = max(minDrainPerSecond, d.current(now))
 	}
 	return time.Duration(min(ahead/rate, maxWaitSeconds) * float64(time.Second))
 }
 
 const (
-	minRate        = 0.2 // requests a second assumed while nothing is taken
-	maxWaitSeconds = 3600
+	minDrainPerSecond = 0.2 // assumed when no request has been taken recently
+	maxWaitSeconds    = 3600
 )
 
 // ahead returns how many waiting requests of the target are served before w:
-// those of its own team, and of each other team as many as its share allows.
+// those of its own team, and of each other team as many as its weight allows.
 func (q *Queue) ahead(w *Waiter) float64 {
 	own := 0.0
 	if t := q.teams[w.Team]; t != nil {
@@ -164,19 +165,20 @@
 	return total
 }
 
-// Next takes the request that goes next among those that can: runnable reports
-// whether a target has a place. It returns nil when none can go.
+// Next removes and returns the request to serve next; nil if none can be served.
+// runnable reports whether a request's target has a free slot; it is called once
+// per target.
 func (q *Queue) Next(now time.Time, runnable func(*Waiter) bool) *Waiter {
 	var best *Waiter
 	bestTeam, bestIndex := "", 0
 	bestStart := math.Inf(1)
-	verdict := map[string]bool{}
+	runnableTargets := map[string]bool{}
 	for name, t := range q.teams {
-		i := firstRunnable(t, runnable, verdict)
+		i := firstRunnable(t, runnable, runnableTargets)
 		if i < 0 {
 			continue
 		}
-		start := max(q.virtual, t.finish)
+		start := max(q.virtualTime, t.finish)
 		w := t.waiting[i]
 		if start < bestStart || (start == bestStart && best != nil && w.seq < best.seq) {
 			best, bestTeam, bestIndex, bestStart = w, name, i, start
@@ -188,20 +190,20 @@
 	q.remove(bestTeam, bestIndex)
 	best.start = bestStart
 	best.finish = bestStart + best.Cost/best.Weight
-	q.virtual = bestStart
+	q.virtualTime = bestStart
 	if t := q.teams[bestTeam]; t != nil {
 		t.finish = best.finish
 	}
-	q.taken(best.Target, now)
+	q.recordDrain(best.Target, now)
 	return best
 }
 
-func firstRunnable(t *team, runnable func(*Waiter) bool, verdict map[string]bool) int {
+func firstRunnable(t *team, runnable func(*Waiter) bool, runnableTargets map[string]bool) int {
 	for i, w := range t.waiting {
-		v, known := verdict[w.Target]
+		v, known := runnableTargets[w.Target]
 		if !known {
 			v = runnable(w)
-			verdict[w.Target] = v
+			runnableTargets[w.Target] = v
 		}
 		if v {
 			return i
@@ -210,19 +212,21 @@
 	return -1
 }
 
-// idleTeams bounds the teams without waiting requests that keep their tag.
-const idleTeams = 4096
+// maxIdleTeams is the number of teams in the queue above which a team without
+// waiting requests is removed even if its finish tag is in the future.
+const maxIdleTeams = 4096
 
 func (q *Queue) remove(name string, i int) {
 	t := q.teams[name]
 	t.waiting = append(t.waiting[:i], t.waiting[i+1:]...)
 	q.size--
-	if len(t.waiting) == 0 && (t.finish <= q.virtual || len(q.teams) > idleTeams) {
+	if len(t.waiting) == 0 && (t.finish <= q.virtualTime || len(q.teams) > maxIdleTeams) {
 		delete(q.teams, name)
 	}
 }
 
-// Cancel takes a request out of the queue. It returns false when it is not there.
+// Cancel removes a request from the queue. It returns false if the request is not
+// in it.
 func (q *Queue) Cancel(w *Waiter) bool {
 	t := q.teams[w.Team]
 	if t == nil {
@@ -237,7 +241,7 @@
 	return false
 }
 
-// Expired takes out the requests whose deadline has passed.
+// Expired removes and returns the requests whose deadline has passed.
 func (q *Queue) Expired(now time.Time) []*Waiter {
 	var out []*Waiter
 	for _, t := range q.teams {
@@ -253,23 +257,23 @@
 	return out
 }
 
-// rateHalfLife is how fast the drain rate forgets.
+// rateHalfLife is the half-life of the drain rate.
 const rateHalfLife = 2 * time.Second
 
-func (q *Queue) taken(target string, now time.Time) {
-	d := q.rate[target]
+func (q *Queue) recordDrain(target string, now time.Time) {
+	d := q.drainRates[target]
 	if d == nil {
-		d = &drain{last: now}
-		q.rate[target] = d
+		d = &drainRate{last: now}
+		q.drainRates[target] = d
 	}
 	d.perSecond = d.current(now) + math.Ln2/rateHalfLife.Seconds()
 	d.last = now
 }
 
-// current returns the rate decayed to now.
-func (d *drain) current(now time.Time) float64 {
+// current returns the rate, in requests per second, decayed to now.
+func (d *drainRate) current(now time.Time) float64 {
 	return d.perSecond * math.Exp2(-now.Sub(d.last).Seconds()/rateHalfLife.Seconds())
 }
 
-// Passed records a request that needed no wait, for the drain rate.
-func (q *Queue) Passed(target string, now time.Time) { q.taken(target, now) }
+// Passed records a request that was served without waiting, for the drain rate.
+func (q *Queue) Passed(target string, now time.Time) { q.recordDrain(target, now) }
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -21,7 +21,8 @@
 
 func always(*Waiter) bool { return true }
 
-// TestWeightsShareCapacity keeps three teams busy and counts what each is served.
+// TestWeightsShareCapacity keeps three teams backlogged and checks that they are
+// served in proportion to their weights.
 func TestWeightsShareCapacity(t *testing.T) {
 	q := NewQueue(100_000)
 	for i := range 3000 {
@@ -40,7 +41,8 @@
 	}
 }
 
-// TestIdleShareIsLentAndGivenBack lets one team use everything until another comes.
+// TestIdleShareIsLentAndGivenBack checks that one team may use all capacity until
+// another sends requests, and that the second then gets its share and no more.
 func TestIdleShareIsLentAndGivenBack(t *testing.T) {
 	q := NewQueue(100_000)
 	for range 1000 {
@@ -48,7 +50,7 @@
 	}
 	for range 500 {
 		if w := q.Next(start, always); w == nil || w.Team != "busy" {
-			t.Fatal("the idle share was not lent")
+			t.Fatal("the idle team's share was not used by the busy team")
 		}
 	}
 	for range 100 {
@@ -61,7 +63,7 @@
 		}
 	}
 	if late < 48 || late > 52 {
-		t.Errorf("the late team got %d of 100, want half: neither less nor arrears", late)
+		t.Errorf("the late team got %d of 100, want half: no less, and no compensation for its idle time", late)
 	}
 }
 
@@ -79,7 +81,7 @@
 	}
 }
 
-func TestTargetWithoutPlaceHoldsUpNobody(t *testing.T) {
+func TestTargetWithoutSlotDoesNotBlockOthers(t *testing.T) {
 	q := NewQueue(10)
 	offer(t, q, &Waiter{Team: "a", Weight: 1, Cost: 1, Target: "full"})
 	offer(t, q, &Waiter{Team: "a", Weight: 1, Cost: 1, Target: "free"})
@@ -89,12 +91,13 @@
 	}
 }
 
-// TestRefusedAtOnce refuses what cannot be done in time, with a time to come
-// back that follows from the drain rate.
+// TestRefusedAtOnce checks that a request that cannot be served before its
+// deadline is refused immediately, with a Retry-After that follows from the drain
+// rate.
 func TestRefusedAtOnce(t *testing.T) {
 	q := NewQueue(100)
 	now := start
-	for range 100 { // 10 a second are taken
+	for range 100 { // 10 requests per second are taken
 		now = now.Add(100 * time.Millisecond)
 		q.Passed("m", now)
 	}
@@ -109,9 +112,9 @@
 		t.Fatalf("got %v, want %s", err, failure.Overloaded)
 	}
 	if f.RetryAfter < 2*time.Second || f.RetryAfter > 12*time.Second {
-		t.Errorf("come back after %s; 50 wait and 10 a second are taken", f.RetryAfter)
+		t.Errorf("Retry-After is %s with 50 requests waiting and 10 taken per second, want 2 s to 12 s", f.RetryAfter)
 	}
-	// Another team within its share does not wait behind the fifty.
+	// A request of another team within its share does not wait behind the 50.
 	if err := q.Offer(&Waiter{Team: "other", Weight: 1, Cost: 1, Target: "m", Deadline: now.Add(time.Second)}, now, half); err != nil {
 		t.Errorf("a team within its share was refused: %v", err)
 	}
