--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides what follows a failed attempt, and bounds retries by a
-// budget so that they cannot multiply load.
+// Package retry decides what follows an attempt, and bounds retries by a budget so
+// that they cannot multiply the load.
 package retry
 
 import (
@@ -15,22 +15,22 @@
 const (
 	// BeforeSend: no byte of the request reached a backend server.
 	BeforeSend Break = iota
-	// Refused: the server stated that it did not start the request.
+	// Refused: the backend server stated that it did not start the request.
 	Refused
-	// Sent: the request was sent and no answer came.
+	// Sent: the request was sent and no part of an answer was received.
 	Sent
-	// MidAnswer: the answer started and broke off.
+	// MidAnswer: part of the answer was received before the attempt failed.
 	MidAnswer
-	// Answered: the whole answer arrived.
+	// Answered: the whole answer was received.
 	Answered
 )
 
-// Attempt describes a failed or finished attempt.
+// Attempt describes an attempt that has ended.
 type Attempt struct {
 	Break      Break
 	Idempotent bool
-	Relayed    bool // part of the answer was passed on to the caller
-	Resumable  bool // the rest of the answer can be had elsewhere
+	Relayed    bool // part of the answer was sent to the caller
+	Resumable  bool // another backend server can continue the answer
 }
 
 // Action is what to do next.
@@ -38,20 +38,20 @@
 
 // Actions.
 const (
-	Finish Action = iota // the request is done
-	Again                // try another server
-	Resume               // try another server from the last token sent
-	GiveUp               // answer the caller with the outcome
+	Finish         Action = iota // the request is done
+	RetryElsewhere               // retry at another backend server
+	Resume                       // continue at another backend server after the last token relayed
+	GiveUp                       // report the outcome to the caller
 )
 
-// LedgerStep is what the ledger holds afterwards.
+// LedgerStep is the change to make to the request's ledger entry.
 type LedgerStep int
 
 // Ledger steps for a non-idempotent request.
 const (
-	Keep      LedgerStep = iota // the claim stays: the outcome is unknown
-	StoreDone                   // the answer is stored
-	Release                     // the key is free again
+	KeepClaim   LedgerStep = iota // keep the claim: the outcome is unknown
+	StoreAnswer                   // store the answer
+	ReleaseKey                    // release the key
 )
 
 // Decision is what follows an attempt.
@@ -61,38 +61,38 @@
 	Ledger  LedgerStep
 }
 
-// Decide returns what follows an attempt. more tells whether another attempt is
-// allowed by count, budget and deadline.
-func Decide(a Attempt, more bool) Decision {
+// Decide returns what follows an attempt. retryAllowed reports whether the limit on
+// attempts, the retry budget and the deadline allow another attempt.
+func Decide(a Attempt, retryAllowed bool) Decision {
 	switch a.Break {
 	case Answered:
-		return Decision{Finish, failure.Done, StoreDone}
+		return Decision{Finish, failure.Done, StoreAnswer}
 	case BeforeSend, Refused:
-		return provedNotRun(a, more)
+		return decideNotRun(a, retryAllowed)
 	}
 	if !a.Idempotent {
-		return Decision{GiveUp, failure.Unknown, Keep}
+		return Decision{GiveUp, failure.Unknown, KeepClaim}
 	}
-	if !more {
-		return Decision{GiveUp, failure.Unknown, Keep}
+	if !retryAllowed {
+		return Decision{GiveUp, failure.Unknown, KeepClaim}
 	}
 	if !a.Relayed {
-		return Decision{Again, failure.Unknown, Keep}
+		return Decision{RetryElsewhere, failure.Unknown, KeepClaim}
 	}
 	if a.Resumable {
-		return Decision{Resume, failure.Unknown, Keep}
+		return Decision{Resume, failure.Unknown, KeepClaim}
 	}
-	return Decision{GiveUp, failure.Unknown, Keep}
+	return Decision{GiveUp, failure.Unknown, KeepClaim}
 }
 
-// provedNotRun decides for an attempt that did not start. After part of the
-// answer was passed on, the request as a whole did run in part.
-func provedNotRun(a Attempt, more bool) Decision {
-	outcome, step := failure.NotRun, Release
+// decideNotRun decides for an attempt that provably did not start. If part of an
+// earlier attempt's answer was relayed, the request as a whole did run in part.
+func decideNotRun(a Attempt, retryAllowed bool) Decision {
+	outcome, step := failure.NotRun, ReleaseKey
 	if a.Relayed {
-		outcome, step = failure.Unknown, Keep
+		outcome, step = failure.Unknown, KeepClaim
 	}
-	if !more {
+	if !retryAllowed {
 		return Decision{GiveUp, outcome, step}
 	}
 	if a.Relayed {
@@ -101,10 +101,10 @@
 		}
 		return Decision{GiveUp, outcome, step}
 	}
-	return Decision{Again, outcome, step}
+	return Decision{RetryElsewhere, outcome, step}
 }
 
-// Budget bounds retries to a share of the requests: every request earns Ratio
+// Budget bounds retries to a fraction of the requests: every request earns Ratio
 // tokens and every retry spends one. It is not safe for concurrent use.
 type Budget struct {
 	Ratio  float64
@@ -113,22 +113,23 @@
 }
 
 const (
-	budgetMax   = 50.0 // tokens that can be saved up
-	budgetFloor = 1.0  // tokens a second earned without requests
+	maxBudgetTokens    = 50.0
+	minTokensPerSecond = 1.0 // earned in addition to Ratio per request
 )
 
-// NewBudget returns a budget with a few tokens, for the first requests.
+// NewBudget returns a budget with 5 tokens, so that the first requests can be
+// retried.
 func NewBudget(ratio float64, now time.Time) *Budget {
 	return &Budget{Ratio: ratio, tokens: 5, last: now}
 }
 
 // Request records a request.
 func (b *Budget) Request(now time.Time) {
-	b.tokens = min(budgetMax, b.tokens+b.Ratio+budgetFloor*now.Sub(b.last).Seconds())
+	b.tokens = min(maxBudgetTokens, b.tokens+b.Ratio+minTokensPerSecond*now.Sub(b.last).Seconds())
 	b.last = now
 }
 
-// Retry spends a token; false when there is none.
+// Retry spends a token. It reports false if there is none.
 func (b *Budget) Retry() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -7,8 +7,8 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// TestDecisions is the contract: each point at which an attempt can break, for
-// idempotent and other requests, with and without another attempt allowed.
+// TestDecisions covers each point at which an attempt can end, for idempotent and
+// other requests, with and without another attempt allowed.
 func TestDecisions(t *testing.T) {
 	const done, notRun, unknown = failure.Done, failure.NotRun, failure.Unknown
 	for _, c := range []struct {
@@ -17,25 +17,25 @@
 		more bool
 		want Decision
 	}{
-		{"answered", Attempt{Break: Answered, Idempotent: true}, true, Decision{Finish, done, StoreDone}},
-		{"answered, not repeatable", Attempt{Break: Answered}, true, Decision{Finish, done, StoreDone}},
-		{"before send", Attempt{Break: BeforeSend, Idempotent: true}, true, Decision{Again, notRun, Release}},
-		{"before send, last", Attempt{Break: BeforeSend, Idempotent: true}, false, Decision{GiveUp, notRun, Release}},
-		{"before send, not repeatable", Attempt{Break: BeforeSend}, true, Decision{Again, notRun, Release}},
-		{"before send, not repeatable, last", Attempt{Break: BeforeSend}, false, Decision{GiveUp, notRun, Release}},
-		{"refused", Attempt{Break: Refused, Idempotent: true}, true, Decision{Again, notRun, Release}},
-		{"refused, not repeatable", Attempt{Break: Refused}, true, Decision{Again, notRun, Release}},
-		{"refused, not repeatable, last", Attempt{Break: Refused}, false, Decision{GiveUp, notRun, Release}},
-		{"sent, no answer", Attempt{Break: Sent, Idempotent: true}, true, Decision{Again, unknown, Keep}},
-		{"sent, no answer, last", Attempt{Break: Sent, Idempotent: true}, false, Decision{GiveUp, unknown, Keep}},
-		{"sent, no answer, not repeatable", Attempt{Break: Sent}, true, Decision{GiveUp, unknown, Keep}},
-		{"mid answer, nothing passed on", Attempt{Break: MidAnswer, Idempotent: true}, true, Decision{Again, unknown, Keep}},
-		{"mid answer, not repeatable", Attempt{Break: MidAnswer}, true, Decision{GiveUp, unknown, Keep}},
-		{"mid stream", Attempt{Break: MidAnswer, Idempotent: true, Relayed: true, Resumable: true}, true, Decision{Resume, unknown, Keep}},
-		{"mid stream, last", Attempt{Break: MidAnswer, Idempotent: true, Relayed: true, Resumable: true}, false, Decision{GiveUp, unknown, Keep}},
-		{"mid stream, not resumable", Attempt{Break: MidAnswer, Idempotent: true, Relayed: true}, true, Decision{GiveUp, unknown, Keep}},
-		{"refused while resuming", Attempt{Break: Refused, Idempotent: true, Relayed: true, Resumable: true}, true, Decision{Resume, unknown, Keep}},
-		{"refused while resuming, last", Attempt{Break: Refused, Idempotent: true, Relayed: true}, false, Decision{GiveUp, unknown, Keep}},
+		{"answered", Attempt{Break: Answered, Idempotent: true}, true, Decision{Finish, done, StoreAnswer}},
+		{"answered, not repeatable", Attempt{Break: Answered}, true, Decision{Finish, done, StoreAnswer}},
+		{"before send", Attempt{Break: BeforeSend, Idempotent: true}, true, Decision{RetryElsewhere, notRun, ReleaseKey}},
+		{"before send, last", Attempt{Break: BeforeSend, Idempotent: true}, false, Decision{GiveUp, notRun, ReleaseKey}},
+		{"before send, not repeatable", Attempt{Break: BeforeSend}, true, Decision{RetryElsewhere, notRun, ReleaseKey}},
+		{"before send, not repeatable, last", Attempt{Break: BeforeSend}, false, Decision{GiveUp, notRun, ReleaseKey}},
+		{"refused", Attempt{Break: Refused, Idempotent: true}, true, Decision{RetryElsewhere, notRun, ReleaseKey}},
+		{"refused, not repeatable", Attempt{Break: Refused}, true, Decision{RetryElsewhere, notRun, ReleaseKey}},
+		{"refused, not repeatable, last", Attempt{Break: Refused}, false, Decision{GiveUp, notRun, ReleaseKey}},
+		{"sent, no answer", Attempt{Break: Sent, Idempotent: true}, true, Decision{RetryElsewhere, unknown, KeepClaim}},
+		{"sent, no answer, last", Attempt{Break: Sent, Idempotent: true}, false, Decision{GiveUp, unknown, KeepClaim}},
+		{"sent, no answer, not repeatable", Attempt{Break: Sent}, true, Decision{GiveUp, unknown, KeepClaim}},
+		{"mid answer, nothing passed on", Attempt{Break: MidAnswer, Idempotent: true}, true, Decision{RetryElsewhere, unknown, KeepClaim}},
+		{"mid answer, not repeatable", Attempt{Break: MidAnswer}, true, Decision{GiveUp, unknown, KeepClaim}},
+		{"mid stream", Attempt{Break: MidAnswer, Idempotent: true, Relayed: true, Resumable: true}, true, Decision{Resume, unknown, KeepClaim}},
+		{"mid stream, last", Attempt{Break: MidAnswer, Idempotent: true, Relayed: true, Resumable: true}, false, Decision{GiveUp, unknown, KeepClaim}},
+		{"mid stream, not resumable", Attempt{Break: MidAnswer, Idempotent: true, Relayed: true}, true, Decision{GiveUp, unknown, KeepClaim}},
+		{"refused while resuming", Attempt{Break: Refused, Idempotent: true, Relayed: true, Resumable: true}, true, Decision{Resume, unknown, KeepClaim}},
+		{"refused while resuming, last", Attempt{Break: Refused, Idempotent: true, Relayed: true}, false, Decision{GiveUp, unknown, KeepClaim}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Decide(c.a, c.more); got != c.want {
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestBudgetBoundsRetries lets every request fail: retries stay at the ratio.
+// TestBudgetBoundsRetries fails every request and checks that the retries stay
+// within the ratio.
 func TestBudgetBoundsRetries(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewBudget(0.1, now)
@@ -58,7 +59,7 @@
 			retries++
 		}
 	}
-	// The ratio, the floor of one a second for 10 s, and what was there first.
+	// The ratio, 1 token per second for 10 s, and the initial tokens (5, rounded up).
 	if limit := requests/10 + 10 + 6; retries > limit {
 		t.Errorf("%d retries of %d requests, want at most %d", retries, requests, limit)
 	}
--- a/internal/core/retry/shared.go
+++ b/internal/core/retry/shared.go
@@ -3,9 +3,9 @@
 import "time"
 
 // Shared is one host's part of a retry budget that all hosts share without
-// talking to each other. Of the fleet's budget in any window, Ratio times the
-// requests plus Slack, each host uses the ratio on its own requests and an equal
-// part of the slack. It is not safe for concurrent use.
+// communicating. The budget of the fleet in any window is Ratio times the requests
+// plus Slack: each host uses the ratio on its own requests and an equal part of
+// the slack. It is not safe for concurrent use.
 type Shared struct {
 	o      SharedOptions
 	hosts  float64
@@ -15,50 +15,50 @@
 
 // SharedOptions configures a Shared.
 type SharedOptions struct {
-	// Ratio is the number of repeats that each request allows.
+	// Ratio is the number of retries that each request allows.
 	Ratio float64
-	// Slack is the number of repeats that the fleet may make in a window anyway.
+	// Slack is the number of retries that the fleet may make in a window in addition.
 	Slack float64
-	// Window is the span in which the budget holds.
+	// Window is the period over which the budget applies.
 	Window time.Duration
 }
 
 const (
-	// ratioUsed leaves room for requests that another host counts.
-	ratioUsed = 0.7
-	// slackUsed: tokens saved up and those earned in the same window come to twice
-	// this, which stays below the slack.
-	slackUsed = 0.4
+	// ratioFraction leaves room for requests that are counted on another host.
+	ratioFraction = 0.7
+	// slackFraction bounds the saved tokens and those earned in a window to this fraction
+	// of the slack each, so that their sum stays below the slack.
+	slackFraction = 0.4
 )
 
-// NewShared returns a budget with its part of the slack.
+// NewShared returns a budget that holds this host's part of the slack.
 func NewShared(o SharedOptions, now time.Time) *Shared {
 	s := &Shared{o: o, hosts: 1, last: now}
-	s.tokens = s.part()
+	s.tokens = s.slackShare()
 	return s
 }
 
-func (s *Shared) part() float64 { return slackUsed * s.o.Slack / s.hosts }
+func (s *Shared) slackShare() float64 { return slackFraction * s.o.Slack / s.hosts }
 
-// SetHosts fixes how many hosts share the slack.
+// SetHosts sets the number of hosts that share the slack.
 func (s *Shared) SetHosts(n int) {
 	s.hosts = float64(max(n, 1))
 	s.tokens = min(s.tokens, s.limit())
 }
 
-// limit is the number of tokens that can be saved up.
-func (s *Shared) limit() float64 { return max(1, s.part()) }
+// limit returns the number of tokens that can be saved.
+func (s *Shared) limit() float64 { return max(1, s.slackShare()) }
 
 func (s *Shared) earn(now time.Time, n float64) {
-	n += s.part() * now.Sub(s.last).Seconds() / s.o.Window.Seconds()
+	n += s.slackShare() * now.Sub(s.last).Seconds() / s.o.Window.Seconds()
 	s.last = now
 	s.tokens = min(s.limit(), s.tokens+n)
 }
 
 // Request records a caller's request.
-func (s *Shared) Request(now time.Time) { s.earn(now, ratioUsed*s.o.Ratio) }
+func (s *Shared) Request(now time.Time) { s.earn(now, ratioFraction*s.o.Ratio) }
 
-// Repeat spends a token on another attempt; false when there is none.
+// Repeat spends a token on another attempt. It reports false if there is none.
 func (s *Shared) Repeat(now time.Time) bool {
 	s.earn(now, 0)
 	if s.tokens < 1 {
--- a/internal/core/retry/shared_test.go
+++ b/internal/core/retry/shared_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSharedBudgetHolds lets hosts repeat as often as their budgets allow, under
-// bursts and pauses of requests, and checks every window: the repeats of all
-// hosts together stay below the ratio of the requests plus the slack.
+// TestSharedBudgetHolds lets each host retry as often as its budget allows, under
+// bursts and pauses of requests, and checks for every window that the retries of
+// all hosts together stay within the ratio of the requests plus the slack.
 func TestSharedBudgetHolds(t *testing.T) {
 	const window = 10 * time.Second
 	o := SharedOptions{Ratio: 0.2, Slack: 56, Window: window}
@@ -46,14 +46,14 @@
 				again += repeats[i]
 			}
 			if limit := o.Ratio*float64(asked) + o.Slack; float64(again) > limit {
-				t.Fatalf("seed %d, %d hosts: %d repeats in the window from step %d, at most %.0f", seed, hosts, again, from, limit)
+				t.Fatalf("seed %d, %d hosts: %d retries in the window from step %d, want at most %.0f", seed, hosts, again, from, limit)
 			}
 		}
 	}
 }
 
-// TestSharedBudgetIsUsed checks that the budget does not keep back what callers
-// need: at a steady rate about ratioUsed of the ratio is repeated.
+// TestSharedBudgetIsUsed checks that the budget does not withhold retries that
+// callers need: at a steady rate, retries reach at least half of the ratio.
 func TestSharedBudgetIsUsed(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := NewShared(SharedOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, start)
@@ -67,6 +67,6 @@
 		}
 	}
 	if repeats < requests/10 {
-		t.Errorf("%d repeats for %d requests", repeats, requests)
+		t.Errorf("%d retries for %d requests, want at least a tenth", repeats, requests)
 	}
 }
