--- a/internal/core/quota/issuer.go
+++ b/internal/core/quota/issuer.go
@@ -87,15 +87,15 @@
 }
 
 // needsStore reports whether too little is left, or far too much is stored as not free.
-func (a *allowance) needsStore(wanted, gone float64) bool {
-	return a.available() < wanted/2 || a.stored > maxStoredFactor*(gone+wanted)+1
+func (a *allowance) needsStore(wanted, committed float64) bool {
+	return a.available() < wanted/2 || a.stored > maxStoredFactor*(committed+wanted)+1
 }
 
 func (a *allowance) beginStore(next float64) { a.storing, a.next, a.used = true, next, 0 }
 
-func (a *allowance) endStore(gone float64) {
+func (a *allowance) endStore(committed float64) {
 	if a.storing {
-		a.remaining, a.stored, a.storing = a.next-a.used, gone, false
+		a.remaining, a.stored, a.storing = a.next-a.used, committed, false
 	}
 }
 
--- a/internal/core/quota/simulation_test.go
+++ b/internal/core/quota/simulation_test.go
@@ -136,17 +136,17 @@
 
 // startIssuer sets an issuer's share and starts its loop of storing and borrowing.
 func (w *simulation) startIssuer(is *simIssuer) {
-	life := is.incarnation
+	incarnation := is.incarnation
 	is.SetShare(1/float64(len(w.issuers)), true, w.now)
 	is.SetTeams(w.teams, w.now)
 	var loop func()
 	loop = func() {
-		if is.incarnation != life {
+		if is.incarnation != incarnation {
 			return
 		}
 		if u := is.ToStore(w.now); u != nil {
 			w.schedule(w.randomDuration(30*time.Millisecond), func() {
-				if is.incarnation == life {
+				if is.incarnation == incarnation {
 					is.disk = u
 					is.Stored(u)
 				}
@@ -216,10 +216,10 @@
 	}
 	is.sequence++
 	ask.Epoch, ask.Sequence = is.epoch, is.sequence
-	life, sentAt := is.incarnation, w.now
+	incarnation, sentAt := is.incarnation, w.now
 	is.busy[lender.name] = 1
 	w.call(is.name, lender, ask, LoanTimeout, func(g *pb.QuotaGrant) {
-		if is.incarnation != life {
+		if is.incarnation != incarnation {
 			return
 		}
 		is.busy[lender.name] = 0
@@ -231,10 +231,10 @@
 
 func (w *simulation) startHolder(h *simHolder) {
 	h.Holder, h.up, h.epoch, h.sequence, h.busy, h.waiting = NewHolder(), true, w.nextEpoch(), map[string]uint64{}, map[string]bool{}, nil
-	life := h.incarnation
+	incarnation := h.incarnation
 	var loop func()
 	loop = func() {
-		if h.incarnation != life {
+		if h.incarnation != incarnation {
 			return
 		}
 		for i, is := range w.issuers {
@@ -258,9 +258,9 @@
 	h.sequence[is.name]++
 	ask.Epoch, ask.Sequence = h.epoch, h.sequence[is.name]
 	h.busy[is.name] = true
-	life, sentAt := h.incarnation, w.now
+	incarnation, sentAt := h.incarnation, w.now
 	w.call(h.name, is, ask, 400*time.Millisecond, func(g *pb.QuotaGrant) {
-		if h.incarnation != life {
+		if h.incarnation != incarnation {
 			return
 		}
 		h.busy[is.name] = false
@@ -294,16 +294,16 @@
 	h.waiting = append(h.waiting, units)
 	h.Wait(simTeam, units)
 	w.ask(h, w.issuers[h.nearestIssuer], true)
-	life := h.incarnation
+	incarnation := h.incarnation
 	w.schedule(60*time.Millisecond, func() {
-		if h.incarnation == life && len(h.waiting) > 0 {
+		if h.incarnation == incarnation && len(h.waiting) > 0 {
 			for _, is := range w.issuers {
 				w.ask(h, is, false)
 			}
 		}
 	})
 	w.schedule(450*time.Millisecond, func() {
-		if i := slices.Index(h.waiting, units); h.incarnation == life && i >= 0 {
+		if i := slices.Index(h.waiting, units); h.incarnation == incarnation && i >= 0 {
 			h.waiting = slices.Delete(h.waiting, i, i+1)
 			h.Wait(simTeam, -units)
 			w.refused += units
@@ -317,10 +317,10 @@
 		return false
 	}
 	if w.rng.Float64() < 0.05 { // did not run
-		life := h.incarnation
+		incarnation := h.incarnation
 		d := w.randomDuration(2 * refundPeriod)
 		w.schedule(d, func() {
-			if h.incarnation != life || !h.Refund(c, w.now) {
+			if h.incarnation != incarnation || !h.Refund(c, w.now) {
 				w.spent = append(w.spent, sent{w.now, units})
 			}
 		})
