--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -171,15 +171,15 @@
 }
 
 // TestMajorityForgot checks that a new generation forms when a majority loses its
-// memory, that a key issued before its birth is refused as forgotten, and that a key
+// memory, that a claim of a key issued before its birth results in TooOld, and that a key
 // issued after it can be claimed.
 func TestMajorityForgot(t *testing.T) {
 	w, op := lostMajority(disabledMechanisms{}, false)
 	if !w.allActive() {
 		t.Fatal("no new generation formed")
 	}
-	if op.Result != Forgot {
-		t.Errorf("a key older than the generation: result %d, want Forgot", op.Result)
+	if op.Result != TooOld {
+		t.Errorf("a key older than the generation: result %d, want TooOld", op.Result)
 	}
 	w.issued = w.now + 2*testSkew
 	fresh := w.claim("s")
@@ -243,7 +243,7 @@
 	}{
 		{"same request", func(*Op) {}, Taken},
 		{"other request", func(o *Op) { o.Digest = []byte("other") }, Reused},
-		{"older than the retention", func(o *Op) { o.NowMS = o.IssuedMS + o.RetentionMS + 1 }, Forgot},
+		{"older than the retention", func(o *Op) { o.NowMS = o.IssuedMS + o.RetentionMS + 1 }, TooOld},
 		{"takes over an abandoned attempt", func(o *Op) { o.Abandoned = func(a string) bool { return a == "a-first" } }, Won},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/core/ledger/op.go
+++ b/internal/core/ledger/op.go
@@ -27,7 +27,7 @@
 	Won             // the operation's value was accepted by a majority
 	Taken           // the key is claimed by another attempt; see Op.Value
 	Reused          // the key was used for a different request
-	Forgot          // the key was issued before the generation's birth, or its retention is over
+	TooOld          // the key was issued before the generation's birth, or its retention is over
 	Conflict        // finish or release of an attempt that does not hold the claim
 )
 
@@ -203,10 +203,10 @@
 	state := State(current.GetState())
 	switch {
 	case state == Free && o.IssuedMS < birthMS:
-		o.Result = Forgot
+		o.Result = TooOld
 		return nil
 	case o.IssuedMS+o.RetentionMS < o.NowMS:
-		o.Result = Forgot
+		o.Result = TooOld
 		return nil
 	case (state == Claimed || state == Done) && !bytes.Equal(current.RequestDigest, o.Digest):
 		o.Result = Reused
