--- a/internal/core/dispatch/arrivals.go
+++ b/internal/core/dispatch/arrivals.go
@@ -7,11 +7,12 @@
 	"github.com/sesamefork/sesamefork/internal/core/serverload"
 )
 
-// arrivalsSpan is the time for which hosts tell each other how many requests callers send
-// to a plain service: long enough that a host with one in some seconds tells a whole number.
-const arrivalsSpan = 100 * time.Second
+// arrivalsReportWindow is the period over which entry hosts report to each other how many
+// requests callers send for a plain service. Reports are whole numbers, so the period is long
+// enough for a host with one request every few seconds to report at least one.
+const arrivalsReportWindow = 100 * time.Second
 
-// Arrived records that a caller sent this host a request for a plain service.
+// Arrived records that a caller sent this entry host a request for a plain service.
 func (f *Fleet) Arrived(service string, now time.Time) {
 	a := f.arrivals[service]
 	if a == nil {
@@ -21,59 +22,59 @@
 	a.add(now)
 }
 
-// arrivalsMemory is how fast the count of arrivals fades: some requests of all hosts of a
-// region, and less than a peak takes to build up.
-const arrivalsMemory = 800 * time.Millisecond
+// arrivalsTimeConstant is the time constant with which the count of arrivals decays: it covers
+// several requests of a region's entry hosts and is shorter than the build-up of a load peak.
+const arrivalsTimeConstant = 800 * time.Millisecond
 
-// arrivals are what callers of a region send to a plain service.
+// arrivals estimates the rate at which callers of a region send requests for a plain service.
 type arrivals struct {
-	count     float64 // moving count of the requests to this host, as of at
-	first, at time.Time
-	others    float64 // to the region's other entry hosts, a second
+	count           float64 // exponentially decaying count of the requests to this host, as of at
+	first, at       time.Time
+	othersPerSecond float64 // requests per second to the region's other entry hosts
 }
 
 func (a *arrivals) add(now time.Time) {
 	if a.first.IsZero() {
 		a.first = now
 	}
-	a.count, a.at = a.faded(now)+1, now
+	a.count, a.at = a.decayed(now)+1, now
 }
 
-func (a *arrivals) faded(now time.Time) float64 {
-	return a.count * math.Exp(-now.Sub(a.at).Seconds()/arrivalsMemory.Seconds())
+func (a *arrivals) decayed(now time.Time) float64 {
+	return a.count * math.Exp(-now.Sub(a.at).Seconds()/arrivalsTimeConstant.Seconds())
 }
 
-// ownPerSecond is what callers send to this host a second.
+// ownPerSecond returns the requests per second that callers send to this host.
 func (a *arrivals) ownPerSecond(now time.Time) float64 {
-	seen := max(now.Sub(a.first), arrivalsMemory/5).Seconds() / arrivalsMemory.Seconds()
-	return a.faded(now) / arrivalsMemory.Seconds() / (1 - math.Exp(-seen))
+	seen := max(now.Sub(a.first), arrivalsTimeConstant/5).Seconds() / arrivalsTimeConstant.Seconds()
+	return a.decayed(now) / arrivalsTimeConstant.Seconds() / (1 - math.Exp(-seen))
 }
 
-// perSecond is what the region's callers send a second.
+// perSecond returns the requests per second that all callers of the region send.
 func (a *arrivals) perSecond(now time.Time) float64 {
 	if a == nil {
 		return 0
 	}
-	return a.ownPerSecond(now) + a.others
+	return a.ownPerSecond(now) + a.othersPerSecond
 }
 
-// tellArrivals adds what callers send to this host to its loads.
-func (f *Fleet) tellArrivals(loads serverload.Loads, now time.Time) {
+// addArrivals adds this host's arrival counts to the loads that it reports.
+func (f *Fleet) addArrivals(loads serverload.Loads, now time.Time) {
 	for service, a := range f.arrivals {
-		if n := uint32(math.Round(a.ownPerSecond(now) * arrivalsSpan.Seconds())); n > 0 {
+		if n := uint32(math.Round(a.ownPerSecond(now) * arrivalsReportWindow.Seconds())); n > 0 {
 			loads[serverload.ServiceKey(service)] = serverload.Load{Requests: n}
 		}
 	}
 }
 
-// takeArrivals takes what callers send to the region's other hosts, and forgets services
-// that this host was not asked for lately.
-func (f *Fleet) takeArrivals(loads serverload.Loads, now time.Time) {
+// applyArrivals stores the arrival rates of the region's other hosts and drops services for
+// which this host received no request within stateRetention.
+func (f *Fleet) applyArrivals(loads serverload.Loads, now time.Time) {
 	for service, a := range f.arrivals {
-		if now.Sub(a.at) > forgetAfter {
+		if now.Sub(a.at) > stateRetention {
 			delete(f.arrivals, service)
 			continue
 		}
-		a.others = float64(loads[serverload.ServiceKey(service)].Requests) / arrivalsSpan.Seconds()
+		a.othersPerSecond = float64(loads[serverload.ServiceKey(service)].Requests) / arrivalsReportWindow.Seconds()
 	}
 }
--- a/internal/core/dispatch/cache.go
+++ b/internal/core/dispatch/cache.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Part is a piece of a prompt that requests may share. A server's cache covers a
-// part only when it covers all parts before it.
+// Part is a piece of a prompt that several requests may have in common. A server's prefix cache
+// covers a part only if it covers all parts before it.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// partCache estimates which prompt parts a server keeps: those that this host
-// sent there last. The engine's own eviction is least recently used too.
+// partCache estimates which prompt parts are in a server's prefix cache, from the requests that
+// this host sent there. It evicts the least recently used part, as the engine does.
 type partCache struct {
-	order *list.List // most recently used first
-	at    map[string]*list.Element
-	held  int
+	order  *list.List // most recently used first
+	byID   map[string]*list.Element
+	tokens int
 }
 
 type cachedPart struct {
@@ -26,14 +26,16 @@
 	used   time.Time
 }
 
-func newPartCache() *partCache { return &partCache{order: list.New(), at: map[string]*list.Element{}} }
+func newPartCache() *partCache {
+	return &partCache{order: list.New(), byID: map[string]*list.Element{}}
+}
 
-// covered returns how many tokens of the chain the server probably keeps, when it
-// keeps a part for the time after its last use.
-func (c *partCache) covered(parts []Part, kept time.Duration, now time.Time) int {
+// coveredTokens returns how many tokens of the prompt the server probably has cached, assuming
+// that it keeps a part for kept after the part's last use.
+func (c *partCache) coveredTokens(parts []Part, kept time.Duration, now time.Time) int {
 	sum := 0
 	for _, p := range parts {
-		e := c.at[p.ID]
+		e := c.byID[p.ID]
 		if e == nil || now.Sub(e.Value.(*cachedPart).used) > kept {
 			break
 		}
@@ -42,22 +44,23 @@
 	return sum
 }
 
-// use records that a request with the parts was sent.
-func (c *partCache) use(parts []Part, capacity int, now time.Time) {
+// recordUse records that a request with these parts was sent, and evicts parts beyond capacity,
+// in tokens.
+func (c *partCache) recordUse(parts []Part, capacity int, now time.Time) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		p := parts[i]
-		if e := c.at[p.ID]; e != nil {
+		if e := c.byID[p.ID]; e != nil {
 			c.order.MoveToFront(e)
 			e.Value.(*cachedPart).used = now
 			continue
 		}
-		c.at[p.ID] = c.order.PushFront(&cachedPart{p.ID, p.Tokens, now})
-		c.held += p.Tokens
+		c.byID[p.ID] = c.order.PushFront(&cachedPart{p.ID, p.Tokens, now})
+		c.tokens += p.Tokens
 	}
-	for c.held > capacity && c.order.Len() > 0 {
+	for c.tokens > capacity && c.order.Len() > 0 {
 		e := c.order.Back()
 		old := c.order.Remove(e).(*cachedPart)
-		delete(c.at, old.id)
-		c.held -= old.tokens
+		delete(c.byID, old.id)
+		c.tokens -= old.tokens
 	}
 }
--- a/internal/core/dispatch/choose.go
+++ b/internal/core/dispatch/choose.go
@@ -7,104 +7,112 @@
 	"time"
 )
 
-// Job is a request as far as the choice needs it.
+// Job describes a request for the choice of a server.
 type Job struct {
 	Service string
-	// Engine is set when the service's servers are model engines.
+	// Engine is set if the service's servers are model engines; otherwise the service is a
+	// plain one.
 	Engine bool
-	// MemoryTokens is the size of an engine's KV cache.
+	// MemoryTokens is the size of an engine's KV cache, in tokens.
 	MemoryTokens float64
-	// CopyPerMS is how fast an engine copies KV cache from another, in tokens per ms;
-	// 0 when engines don't.
+	// CopyPerMS is the rate at which an engine copies KV cache from another engine, in tokens
+	// per ms; 0 if the engines cannot copy.
 	CopyPerMS float64
-	// Parts is the prompt's chain, the request's own part last.
+	// Parts are the parts of the prompt in order; the last one is specific to the request.
 	Parts  []Part
-	Prompt float64 // tokens of the prompt
-	Output float64 // tokens expected
-	// Permits tells whether servers of a region may run the request.
+	Prompt float64 // length of the prompt, in tokens
+	Output float64 // expected length of the answer, in tokens
+	// Permits reports whether servers of a region may run the request.
 	Permits func(region string) bool
-	// Remaining is the time until the caller gives up.
+	// Remaining is the time until the caller's deadline.
 	Remaining time.Duration
-	// Target is the time within which the caller expects the first byte.
+	// Target is the time within which the first byte of the answer should reach the caller.
 	Target time.Duration
-	// Tried names the servers and regions that failed for this request.
+	// Tried is the set of server IDs, region names and entry host IDs at which this request has
+	// failed.
 	Tried map[string]bool
-	// Forwarded is set when the request came from an entry host of another region.
+	// Forwarded is set if an entry host of another region forwarded the request.
 	Forwarded bool
-	// Ends is the number of servers that ended while they ran the request, as far as known.
+	// Ends is the number of server processes recorded to have exited while running the request.
 	Ends int
-	// ColdPerSecond is the rate that a cold server tolerates.
+	// ColdPerSecond is the rate of requests that a cold server tolerates, per second; 0 for no
+	// limit.
 	ColdPerSecond float64
 }
 
-// Considered is a place that was weighed, for the log.
+// Considered is a server or region that was evaluated for a request, for the log.
 type Considered struct {
 	Name       string
 	EstimateMS float64
-	Reason     string // why it was passed over; empty when it could be chosen
+	Reason     string // why it was excluded; empty if it was eligible
 }
 
-// Choice is where a request goes.
+// Choice is the decision where a request is sent.
 type Choice struct {
-	Server     *Server // nil with another region, or when refused
+	Server     *Server // nil if the request goes to another region or is refused
 	Host       *Host   // entry host of another region
-	EstimateMS float64 // expected time to the first byte
-	Uncovered  float64 // prompt tokens that the server has to read
-	// CopyFrom is the address of the engine from which the server copies shared parts
-	// of the prompt; "" for none.
+	EstimateMS float64 // expected time to the first byte, in ms
+	Uncovered  float64 // prompt tokens expected not to be cached at the server
+	// CopyFrom is the address of the engine from which the server copies the KV cache of shared
+	// parts of the prompt; "" for none.
 	CopyFrom string
-	// Turn is how a request for a plain service was shared out; nil for others.
+	// Turn is the region drawn for a request for a plain service; nil for requests to engines.
 	Turn *Turn
-	// Deferred is set when the first byte is late in any case: the request waits behind
-	// those that can still be in time.
+	// Deferred is set if the first byte is expected after the target at the chosen server. The
+	// server then queues the request behind those that can still meet their target.
 	Deferred   bool
 	Considered []Considered
-	// Refused says why there is no place; RetryAfter is when one is expected. OutOfReach is
-	// set when no server can be used at all.
+	// Refused is the reason if the request cannot be sent anywhere, and RetryAfter the time
+	// after which the caller should retry. OutOfReach is set if no server is usable at all.
 	Refused    string
 	OutOfReach bool
 	RetryAfter time.Duration
 
-	// ahead is the prompt tokens that were to be read before at the server, and crowd how many
-	// times longer than with free slots a plain answer takes there.
-	ahead float64
-	crowd float64
-	loss  float64
-	job   *Job
-	key   regionKey
-	read  bool // the first byte has come
-	began time.Time
+	// tokensAhead is the number of prompt tokens queued at the server before this request.
+	// slowdown is the factor by which load at the server lengthens the answer of a plain
+	// service.
+	tokensAhead   float64
+	slowdown      float64
+	loss          float64
+	job           *Job
+	key           regionKey
+	firstByteSeen bool // the first byte of the answer has arrived
+	startedAt     time.Time
 }
 
-// Figures of the estimate.
+// Parameters of the estimate. A loss is in the unit described in cost.go.
 const (
-	// releasePerMS is how many tokens of KV cache a busy engine frees per ms: a
-	// hundred requests of 1,000 tokens that run 1.5 s each.
-	releasePerMS = 60.0
-	// errorLoss is what a certain failure costs.
+	// kvReleaseTokensPerMS is the rate at which a busy engine frees KV cache, in tokens per ms:
+	// about 100 running requests of 1,000 tokens that take 1.5 s each.
+	kvReleaseTokensPerMS = 60.0
+	// errorLoss is the loss of a request that is certain to fail.
 	errorLoss = 2.0
-	// stalledLoss is what a server costs that sends nothing on any request.
+	// stalledLoss is the loss of choosing a stalled server: one that sends nothing on any
+	// request.
 	stalledLoss = 3.0
-	// tieBreak spreads requests over places of nearly the same cost.
-	tieBreak = 0.02
-	// crossingLoss and crossingLongLoss are what the bytes of a short request and of a long
-	// prompt cost that go to another failure domain.
-	crossingLoss     = 0.04
-	crossingLongLoss = 0.1
-	// interRegionMS is the way to another region and back, in ms.
-	interRegionMS = 165.0
-	// awayLoss is what sending a prompt to another region costs besides its time: bytes
-	// between regions, and figures of the other region that are old when they come. Less
-	// makes regions send to each other and back for no gain.
-	awayLoss = 0.5
-	// minRetry is the shortest time to come back: a few answers later.
-	minRetry = 300 * time.Millisecond
-	// unknownRetry is the time to come back when nothing is known of any server:
-	// a region's servers that crashed are back after a few seconds.
-	unknownRetry = 4 * time.Second
+	// tieBreakLoss is the range of a random loss that spreads requests over candidates of
+	// nearly equal loss.
+	tieBreakLoss = 0.02
+	// crossDomainLoss and crossDomainLongLoss are the losses for the network traffic to another
+	// failure domain, of a short request and of one with a long prompt.
+	crossDomainLoss     = 0.04
+	crossDomainLongLoss = 0.1
+	// interRegionRTTMS is the round-trip time to another region, in ms.
+	interRegionRTTMS = 165.0
+	// crossRegionLoss is the loss of sending a prompt to another region besides the delay: it
+	// stands for the network traffic and for load figures that are out of date when they
+	// arrive. With a lower value regions forward requests to each other and back without
+	// benefit.
+	crossRegionLoss = 0.5
+	// minRetryAfter is the shortest time after which a caller is asked to retry: enough for a
+	// few requests to complete.
+	minRetryAfter = 300 * time.Millisecond
+	// defaultRetryAfter applies if no server indicates when it will be usable: servers of a
+	// region that crashed are back after a few seconds.
+	defaultRetryAfter = 4 * time.Second
 )
 
-// Choose returns where the request goes now.
+// Choose returns where to send the request.
 func (f *Fleet) Choose(j *Job, now time.Time) Choice {
 	c := Choice{job: j, loss: math.Inf(1)}
 	prefer := f.preferenceFor(j, now)
@@ -112,44 +120,46 @@
 	if j.Permits(f.o.Region) {
 		f.chooseServer(j, &c, prefer, now)
 	}
-	if !j.Forwarded && !f.off(OtherRegions) {
+	if !j.Forwarded && !f.disabled(OtherRegions) {
 		f.chooseRegion(j, &c, prefer, now)
 	}
 	if c.Server == nil && c.Host == nil {
-		c.Refused, c.RetryAfter, c.OutOfReach = "no backend server in reach", f.backIn(j, now), true
+		c.Refused, c.RetryAfter, c.OutOfReach = "no backend server in reach", f.retryAfterNoServer(j, now), true
 		return c
 	}
 	if wait := time.Duration(c.EstimateMS * float64(time.Millisecond)); wait > j.Remaining {
 		c.Refused, c.Server, c.Host = "the answer is expected after the deadline", nil, nil
-		c.RetryAfter = j.retryWithin(wait - j.Remaining)
+		c.RetryAfter = j.boundRetryAfter(wait - j.Remaining)
 	}
 	return c
 }
 
-// backIn returns when a server can probably be used again: a cold one is warm, a
-// failing one is asked again; for the rest nobody knows.
-func (f *Fleet) backIn(j *Job, now time.Time) time.Duration {
-	in := unknownRetry
-	for _, s := range f.ofService(j.Service) {
+// retryAfterNoServer returns the time after which to retry if no server is usable: the earliest
+// moment at which a cold server has warmed up or the back-off of a failing one has ended, at
+// most defaultRetryAfter. A server that is unusable for missed announcements counts as usable
+// after minRetryAfter.
+func (f *Fleet) retryAfterNoServer(j *Job, now time.Time) time.Duration {
+	in := defaultRetryAfter
+	for _, s := range f.serversOf(j.Service) {
 		if s.Leaving || slices.Contains(f.evacuated, s.FailureDomain) || !j.Permits(f.o.Region) {
 			continue
 		}
-		in = min(in, max(s.ColdUntil.Sub(now), s.health.closedUntil.Sub(now), minRetry))
+		in = min(in, max(s.ColdUntil.Sub(now), s.health.blockedUntil.Sub(now), minRetryAfter))
 	}
-	return j.retryWithin(in)
+	return j.boundRetryAfter(in)
 }
 
-// retryWithin keeps a time to come back within what the caller can wait: one who
-// comes later than a third of its time has too little left.
-func (j *Job) retryWithin(d time.Duration) time.Duration {
-	return min(max(d, minRetry), max(j.Remaining/3, minRetry))
+// boundRetryAfter limits a retry delay to a third of the caller's remaining time, since a later
+// retry would not leave enough time for the answer.
+func (j *Job) boundRetryAfter(d time.Duration) time.Duration {
+	return min(max(d, minRetryAfter), max(j.Remaining/3, minRetryAfter))
 }
 
 func (f *Fleet) chooseServer(j *Job, c *Choice, prefer preference, now time.Time) {
 	var cold []*Server
-	k := f.keepersOf(j, now)
-	beyond := prefer.beyond(f.o.Region)
-	for _, s := range f.candidates(j, k, now) {
+	locations := f.locationsOf(j, now)
+	regionLoss := prefer.regionLoss(f.o.Region)
+	for _, s := range f.candidates(j, locations, now) {
 		if j.Tried[s.ID] {
 			continue
 		}
@@ -161,9 +171,9 @@
 			cold = append(cold, s)
 			continue
 		}
-		f.offer(s, j, c, k, beyond+prefer.at(s), now)
+		f.evaluate(s, j, c, locations, regionLoss+prefer.serverLoss(s), now)
 	}
-	// A cold server is used when no warm one can take the request in time.
+	// A cold server is used only if no warm one is expected to meet the target.
 	if c.Server != nil && c.EstimateMS < float64(j.Target.Milliseconds()) {
 		return
 	}
@@ -172,83 +182,85 @@
 			c.Considered = append(c.Considered, Considered{s.ID, 0, "cold"})
 			continue
 		}
-		f.offer(s, j, c, k, beyond+prefer.at(s), now)
+		f.evaluate(s, j, c, locations, regionLoss+prefer.serverLoss(s), now)
 	}
 }
 
-// offer weighs a server against the best so far. share is what it costs beside its own cost.
-func (f *Fleet) offer(s *Server, j *Job, c *Choice, keep keepers, share float64, now time.Time) {
+// evaluate computes the loss of sending the request to a server, and makes the server the
+// choice if that is the lowest so far. extraLoss is added to the server's own loss.
+func (f *Fleet) evaluate(s *Server, j *Job, c *Choice, locations chainLocations, extraLoss float64, now time.Time) {
 	shared := float64(sharedTokens(j.Parts))
-	covered := f.covered(s, j, keep, now)
-	from, copied := f.copySource(s, j, keep, shared-covered, now)
+	covered := f.coveredTokens(s, j, locations, now)
+	from, copied := f.copySource(s, j, locations, shared-covered, now)
 	covered += copied
 	uncovered := math.Max(0, j.Prompt-covered)
-	hidden := f.hidden(j.Service, now)
-	k := f.costAt(s, j, uncovered, math.Max(0, shared-covered), now)
+	factor := f.unreportedFactor(j.Service, now)
+	k := f.serverCost(s, j, uncovered, math.Max(0, shared-covered), now)
 	k.addCopy(j, copied)
-	k.loss += f.crossing(s, j) + share + f.endLoss(s, j)
-	late := !f.off(Deferral) && k.deferLate(float64(s.deferred)+hidden*float64(s.othersDeferred), s, j, f.speedOf(j.Service).HoldMS())
-	k.loss += f.o.Random() * tieBreak
+	k.loss += f.domainLoss(s, j) + extraLoss + f.crashLoss(s, j)
+	late := !f.disabled(Deferral) && k.deferIfLate(float64(s.deferred)+factor*float64(s.othersDeferred), s, j, f.speedOf(j.Service).HoldMS())
+	k.loss += f.o.Random() * tieBreakLoss
 	c.Considered = append(c.Considered, Considered{s.ID, k.firstMS, ""})
 	if k.loss < c.loss {
 		c.Server, c.EstimateMS, c.loss, c.Uncovered, c.CopyFrom = s, k.firstMS, k.loss, uncovered, from
 		c.Deferred = late
-		c.ahead, c.crowd = s.own.prompt+hidden*s.others.prompt, crowd(f.requestsAt(s, now), float64(max(1, s.Slots)))
+		c.tokensAhead, c.slowdown = s.own.prompt+factor*s.others.prompt, slowdown(f.requestsAt(s, now), float64(max(1, s.Slots)))
 	}
 }
 
-// crossing is what the bytes between failure domains cost that a server of another one
-// brings. Without it half of the requests cross in a region of two.
-func (f *Fleet) crossing(s *Server, j *Job) float64 {
+// domainLoss returns the loss for network traffic if the server is in another failure domain.
+// Without it half of the requests cross failure domains in a region of two.
+func (f *Fleet) domainLoss(s *Server, j *Job) float64 {
 	switch {
-	case s.FailureDomain == f.o.FailureDomain, f.off(OwnDomainFirst):
+	case s.FailureDomain == f.o.FailureDomain, f.disabled(OwnDomainFirst):
 		return 0
 	case j.isLong():
-		return crossingLongLoss
+		return crossDomainLongLoss
 	}
-	return crossingLoss
+	return crossDomainLoss
 }
 
-// costAt is the cost of the request at a server of the own region.
-func (f *Fleet) costAt(s *Server, j *Job, uncovered, reread float64, now time.Time) cost {
-	requests, hidden := f.requestsAt(s, now), f.hidden(j.Service, now)
+// serverCost returns the cost of the request at a server of the own region. reread is the part
+// of uncovered that other requests share, in tokens.
+func (f *Fleet) serverCost(s *Server, j *Job, uncovered, reread float64, now time.Time) cost {
+	requests, factor := f.requestsAt(s, now), f.unreportedFactor(j.Service, now)
 	slots := float64(max(1, s.Slots))
 	unhealthy := s.health.errors.now(now) * errorLoss
 	excess := s.health.excess.now(now)
-	if f.off(Health) {
+	if f.disabled(Health) {
 		unhealthy, excess = 0, 0
 	}
-	if s.stalled(now) && !f.off(Silence) {
+	if s.stalled(now) && !f.disabled(Silence) {
 		unhealthy += stalledLoss
 	}
-	learned := f.speedOf(j.Service)
+	estimator := f.speedOf(j.Service)
 	if !j.Engine {
-		k := serviceCost(requests, slots, learned.AnswerMS(), j)
-		if !f.off(Shares) {
-			k.loss = 0 // the shares weigh the load
+		k := plainServiceCost(requests, slots, estimator.AnswerMS(), j)
+		if !f.disabled(Shares) {
+			k.loss = 0 // rankServers already accounts for the load
 		}
 		return cost{k.loss + unhealthy + excess/1000*delayLoss, k.firstMS + excess}
 	}
-	k := promptCost(engineState{
-		requests: requests, slots: slots, pendingMS: (s.own.prompt + hidden*s.others.prompt) / learned.Rate(),
-		busy:   (s.reading.now(now) + hidden*s.othersReading) / 1000,
-		memory: s.own.memory + hidden*s.others.memory, memoryCapacity: j.MemoryTokens, off: f.o.Off,
-	}, j, uncovered, reread, learned)
+	k := enginePromptCost(engineState{
+		requests: requests, slots: slots, pendingMS: (s.own.prompt + factor*s.others.prompt) / estimator.Rate(),
+		readingShare: (s.reading.now(now) + factor*s.othersReading) / 1000,
+		memory:       s.own.memory + factor*s.others.memory, memoryCapacity: j.MemoryTokens, off: f.o.Off,
+	}, j, uncovered, reread, estimator)
 	return cost{k.loss + unhealthy + shortLoss*lateRisk(k.firstMS+excess, j.Target) - shortLoss*lateRisk(k.firstMS, j.Target), k.firstMS}
 }
 
-// serviceCost is the cost of a request at a plain service
-// whose answers take answerMS while it has free slots.
-func serviceCost(requests, slots, answerMS float64, j *Job) cost {
-	ms := answerMS*crowd(requests, slots) + answerMS*requests/slots/2
+// plainServiceCost returns the cost of a request at a server of a plain service that answers in
+// answerMS while it has free slots.
+func plainServiceCost(requests, slots, answerMS float64, j *Job) cost {
+	ms := answerMS*slowdown(requests, slots) + answerMS*requests/slots/2
 	return cost{ms/1000*delayLoss + lateRisk(ms, j.Target), ms}
 }
 
-// crowd is how many times longer than with free slots an answer takes.
-func crowd(requests, slots float64) float64 { return 1 + math.Max(0, requests+1-slots)/slots }
+// slowdown returns the factor by which an answer takes longer than with free slots.
+func slowdown(requests, slots float64) float64 { return 1 + math.Max(0, requests+1-slots)/slots }
 
-// chooseRegion sends the request to another region when that is better by the
-// margin, or when nothing here can take it.
+// chooseRegion makes another region the choice if its loss, which includes the penalties for
+// leaving the region, is lower than that of the best server of the own region.
 func (f *Fleet) chooseRegion(j *Job, c *Choice, prefer preference, now time.Time) {
 	var names []string
 	for name := range f.hosts {
@@ -264,7 +276,7 @@
 		if r == nil || r.servers == 0 {
 			continue
 		}
-		if now.Sub(r.at) > regionSilence {
+		if now.Sub(r.asOf) > maxRegionAge {
 			c.Considered = append(c.Considered, Considered{name, 0, "not heard lately"})
 			continue
 		}
@@ -273,8 +285,8 @@
 			c.Considered = append(c.Considered, Considered{name, 0, "no entry host in reach"})
 			continue
 		}
-		k, uncovered := f.costAway(r, j, now)
-		k.loss += prefer.beyond(name) + f.endLossAway(r, j)
+		k, uncovered := f.regionCost(r, j, now)
+		k.loss += prefer.regionLoss(name) + f.regionCrashLoss(r, j)
 		c.Considered = append(c.Considered, Considered{name, k.firstMS, ""})
 		if k.loss < c.loss {
 			c.Server, c.Host, c.EstimateMS, c.loss, c.key = nil, h, k.firstMS, k.loss, key
@@ -283,48 +295,48 @@
 	}
 }
 
-// costAway is the cost in another region, at its mean server, and the prompt
-// tokens that are probably read there.
-func (f *Fleet) costAway(r *region, j *Job, now time.Time) (k cost, uncovered float64) {
-	requests := (r.requests + float64(r.sent.requests)) / r.servers
+// regionCost returns the cost at an average server of another region, and the number of prompt
+// tokens that are probably not cached there.
+func (f *Fleet) regionCost(r *region, j *Job, now time.Time) (k cost, uncovered float64) {
+	requests := (r.requests + float64(r.forwarded.requests)) / r.servers
 	slots := math.Max(1, r.slots/r.servers)
-	learned := f.speedOf(j.Service)
+	estimator := f.speedOf(j.Service)
 	if !j.Engine {
-		k = serviceCost(requests, slots, learned.AnswerMS(), j)
-		away := k.firstMS + interRegionMS
-		late := lateRisk(away, j.Target) - lateRisk(k.firstMS, j.Target)
-		if f.off(Shares) {
-			k.loss += awayLoss
+		k = plainServiceCost(requests, slots, estimator.AnswerMS(), j)
+		remoteMS := k.firstMS + interRegionRTTMS
+		late := lateRisk(remoteMS, j.Target) - lateRisk(k.firstMS, j.Target)
+		if f.disabled(Shares) {
+			k.loss += crossRegionLoss
 		}
-		return cost{k.loss + crossingLoss + interRegionMS/1000*delayLoss + late, away}, 0
+		return cost{k.loss + crossDomainLoss + interRegionRTTMS/1000*delayLoss + late, remoteMS}, 0
 	}
-	reread := f.rereadAway(r, j, now)
+	reread := f.rereadInRegion(r, j, now)
 	uncovered = j.Prompt - float64(sharedTokens(j.Parts)) + reread
-	pending := (r.prompt + r.sent.prompt) / r.servers / learned.Rate()
-	k = promptCost(engineState{
-		requests: requests, slots: slots, pendingMS: pending + interRegionMS,
-		memory: (r.memory + r.sent.memory) / r.servers, memoryCapacity: j.MemoryTokens, off: f.o.Off,
-	}, j, uncovered, reread, learned)
-	k.loss += awayLoss
+	pending := (r.prompt + r.forwarded.prompt) / r.servers / estimator.Rate()
+	k = enginePromptCost(engineState{
+		requests: requests, slots: slots, pendingMS: pending + interRegionRTTMS,
+		memory: (r.memory + r.forwarded.memory) / r.servers, memoryCapacity: j.MemoryTokens, off: f.o.Off,
+	}, j, uncovered, reread, estimator)
+	k.loss += crossRegionLoss
 	return k, uncovered
 }
 
-// pickHost returns an entry host of the region at random, without those that
-// could not be reached lately.
+// pickHost returns a random entry host of the region, leaving out those that recently could not
+// be reached and those already tried; nil if there is none.
 func (f *Fleet) pickHost(name string, j *Job, now time.Time) *Host {
-	var live []*Host
+	var reachable []*Host
 	for _, h := range f.hosts[name] {
 		if now.After(h.suspectUntil) && !j.Tried[h.ID] {
-			live = append(live, h)
+			reachable = append(reachable, h)
 		}
 	}
-	if len(live) == 0 {
+	if len(reachable) == 0 {
 		return nil
 	}
-	return live[int(f.o.Random()*float64(len(live)))%len(live)]
+	return reachable[int(f.o.Random()*float64(len(reachable)))%len(reachable)]
 }
 
-func (f *Fleet) ofService(service string) []*Server {
+func (f *Fleet) serversOf(service string) []*Server {
 	var out []*Server
 	for _, s := range f.servers {
 		if s.Service == service {
--- a/internal/core/dispatch/cold_test.go
+++ b/internal/core/dispatch/cold_test.go
@@ -10,23 +10,24 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// coldBound is what a cold server bears in any second, for a rate that it tolerates.
-func coldBound(rate float64) float64 { return rate*1.5 + 3 }
+// coldLimit returns the number of requests that a cold server tolerates in any second, given
+// the rate for which it is configured.
+func coldLimit(rate float64) float64 { return rate*1.5 + 3 }
 
-// coldRegion is a region whose hosts all start within a second, hear each other's presence
-// through one control host with delays, and find one cold server, with more requests than
-// it may get. Hosts leave and come back meanwhile.
+// coldRegion simulates a region whose entry hosts all start within a second, receive the list
+// of ready hosts from one control host after random delays, and share one cold server, with
+// more requests than the server may get. Hosts stop and restart in the meantime.
 type coldRegion struct {
 	rnd   *rand.Rand
 	rate  float64
 	hosts []*Fleet
 	names []string
-	up    []time.Time // when a host presents itself; zero while it is down
+	up    []time.Time // time from which a host is up; zero while it is down
 	views []coldView
 	sent  []time.Time
 }
 
-// coldView is a list of hosts on its way to a host.
+// coldView is a list of ready hosts that is to be delivered to a host at a time.
 type coldView struct {
 	host int
 	at   time.Time
@@ -34,9 +35,9 @@
 }
 
 const (
-	coldStep  = 20 * time.Millisecond
-	coldSpan  = 8 * time.Second
-	viewEvery = 250 * time.Millisecond
+	coldStep     = 20 * time.Millisecond
+	coldDuration = 8 * time.Second
+	viewInterval = 250 * time.Millisecond
 )
 
 func newColdRegion(seed int64) *coldRegion {
@@ -54,7 +55,7 @@
 	return New(Options{Host: r.names[i], Region: "west", FailureDomain: "w1", Random: r.rnd.Float64})
 }
 
-// live returns the hosts of which the control host heard by a moment.
+// live returns the hosts that are up at a time.
 func (r *coldRegion) live(now time.Time) []string {
 	var out []string
 	for i, at := range r.up {
@@ -66,7 +67,7 @@
 }
 
 func (r *coldRegion) step(now time.Time) {
-	if r.rnd.Intn(100) == 0 { // a host stops, or comes back knowing nothing
+	if r.rnd.Intn(100) == 0 { // a host stops, or restarts without state
 		i := r.rnd.Intn(len(r.hosts))
 		if r.up[i].IsZero() {
 			r.up[i], r.hosts[i] = now, r.newHost(i)
@@ -75,8 +76,8 @@
 		}
 	}
 	for i := range r.hosts {
-		if now.Sub(start)%viewEvery == 0 && !r.up[i].IsZero() && !r.up[i].After(now) {
-			delay := time.Duration(r.rnd.Int63n(int64(viewDelay)))
+		if now.Sub(start)%viewInterval == 0 && !r.up[i].IsZero() && !r.up[i].After(now) {
+			delay := time.Duration(r.rnd.Int63n(int64(maxViewDelay)))
 			r.views = append(r.views, coldView{i, now.Add(delay), r.live(now)})
 		}
 	}
@@ -101,7 +102,7 @@
 		return
 	}
 	view := &pb.FleetView{Version: 1, Servers: []*pb.FleetServer{{
-		Id: "s0", Service: "llm", Address: "a:1", FailureDomain: "w1", Slots: 128, ColdMs: uint64(2 * coldSpan.Milliseconds()),
+		Id: "s0", Service: "llm", Address: "a:1", FailureDomain: "w1", Slots: 128, ColdMs: uint64(2 * coldDuration.Milliseconds()),
 	}}}
 	for _, name := range v.list {
 		view.Hosts = append(view.Hosts, &pb.FleetHost{Id: name, Region: "west", Ready: true})
@@ -119,18 +120,18 @@
 		}
 		f.Started(&c, now)
 		f.Ended(&c, Served, time.Millisecond, now)
-		// It arrives a little later, and may wait for a connection meanwhile.
+		// The request arrives up to 100 ms later, as it may wait for a connection.
 		r.sent = append(r.sent, now.Add(time.Duration(r.rnd.Intn(100))*time.Millisecond))
 	}
 }
 
-// TestColdBoundAcrossHosts checks every second of many regions: all hosts together send a
-// cold server no more than it bears.
+// TestColdBoundAcrossHosts checks that all hosts of a region together send a cold server no
+// more requests in any second than it tolerates, over 150 random regions.
 func TestColdBoundAcrossHosts(t *testing.T) {
 	used := 0
 	for seed := range int64(150) {
 		r := newColdRegion(seed)
-		for at := time.Duration(0); at < coldSpan; at += coldStep {
+		for at := time.Duration(0); at < coldDuration; at += coldStep {
 			r.step(start.Add(at))
 		}
 		sort.Slice(r.sent, func(a, b int) bool { return r.sent[a].Before(r.sent[b]) })
@@ -143,12 +144,12 @@
 				}
 				n++
 			}
-			if float64(n) > coldBound(r.rate) {
-				t.Fatalf("seed %d, %d hosts: %d requests in the second from %s, the server bears %.1f", seed, len(r.hosts), n, first.Sub(start), coldBound(r.rate))
+			if float64(n) > coldLimit(r.rate) {
+				t.Fatalf("seed %d, %d hosts: %d requests in the second from %s, the server tolerates %.1f", seed, len(r.hosts), n, first.Sub(start), coldLimit(r.rate))
 			}
 		}
 	}
 	if used == 0 {
-		t.Error("no request was sent: the test shows nothing")
+		t.Error("no request was sent, so the bound was not tested")
 	}
 }
--- a/internal/core/dispatch/copies_test.go
+++ b/internal/core/dispatch/copies_test.go
@@ -7,21 +7,21 @@
 	"github.com/sesamefork/sesamefork/internal/core/holders"
 )
 
-// copyJob is a long prompt for engines that copy KV cache from each other.
+// copyJob returns a job with a long prompt for engines that copy KV cache from each other.
 func copyJob() *Job {
 	j := longJob("chain")
 	j.Permits, j.CopyPerMS = only("west"), 500
 	return j
 }
 
-// TestSharedPartsAreCopied tells a host that another one sent the chain to s0, and
-// checks from where s1 would copy it.
+// TestSharedPartsAreCopied reports to a host that another one sent the chain to s0, and checks
+// the engine from which s1 would copy it.
 func TestSharedPartsAreCopied(t *testing.T) {
 	cases := []struct {
-		name string
-		make func(*Fleet, *Job)
-		age  time.Duration
-		want string
+		name  string
+		setup func(*Fleet, *Job)
+		age   time.Duration
+		want  string
 	}{
 		{"held by another engine", func(*Fleet, *Job) {}, time.Second, "10.1.0.0:80"},
 		{"held too long ago", func(*Fleet, *Job) {}, 50 * time.Second, ""},
@@ -29,7 +29,7 @@
 		{"engines that don't copy", func(_ *Fleet, j *Job) { j.CopyPerMS = 0 }, time.Second, ""},
 		{"little to copy", func(_ *Fleet, j *Job) { j.Parts = j.Parts[1:]; j.Parts[0].Tokens = 300 }, time.Second, ""},
 		{"the holder is leaving", func(f *Fleet, _ *Job) { f.servers["s0"].Leaving = true }, time.Second, ""},
-		{"the holder's connections break", func(f *Fleet, _ *Job) { f.servers["s0"].health.broke(start.Add(time.Second)) }, time.Second, ""},
+		{"the holder's connections break", func(f *Fleet, _ *Job) { f.servers["s0"].health.recordConnectionFailure(start.Add(time.Second)) }, time.Second, ""},
 		{"the holder sends nothing", func(f *Fleet, _ *Job) {
 			f.servers["s0"].own.requests, f.servers["s0"].progressAt = 1, start.Add(-time.Second)
 		}, time.Second, ""},
@@ -42,10 +42,10 @@
 			v.Prompts = holders.Encode([]holders.Place{{Chain: holders.Key("chain"), Server: holders.Key("s0")}})
 			f.TakeView(v, Everything, start)
 			j := copyJob()
-			c.make(f, j)
+			c.setup(f, j)
 			now := start.Add(c.age)
 			lacks := float64(sharedTokens(j.Parts))
-			addr, tokens := f.copySource(f.servers["s1"], j, f.keepersOf(j, now), lacks, now)
+			addr, tokens := f.copySource(f.servers["s1"], j, f.locationsOf(j, now), lacks, now)
 			if addr != c.want || (addr == "") != (tokens == 0) || tokens > lacks {
 				t.Errorf("copies %.0f tokens from %q, want %q", tokens, addr, c.want)
 			}
@@ -53,8 +53,9 @@
 	}
 }
 
-// TestHolderIsPreferredUntilItIsBusy sends a long prompt while its holder is idle, and
-// while the holder reads for long: then another engine copies the shared parts.
+// TestHolderIsPreferredUntilItIsBusy sends a long prompt while its holder is idle, and then
+// while the holder has a long backlog of reading: in the second case another engine copies the
+// shared parts.
 func TestHolderIsPreferredUntilItIsBusy(t *testing.T) {
 	f := newTestFleet(2)
 	v := testView(2)
@@ -72,9 +73,9 @@
 	}
 }
 
-// TestSentPromptsAreToldOnce checks what a host tells of the prompts that it sent:
-// long shared chains only, each once, and a bounded number.
-func TestSentPromptsAreToldOnce(t *testing.T) {
+// TestSentPromptsAreReportedOnce checks what a host reports of the prompts that it sent: only
+// long shared chains, each once, and a bounded number.
+func TestSentPromptsAreReportedOnce(t *testing.T) {
 	f := newTestFleet(2)
 	send := func(j *Job) {
 		c := f.Choose(j, start)
@@ -83,43 +84,43 @@
 	j := copyJob()
 	send(j)
 	send(shortJob())
-	told := f.TakeSent()
-	if len(told) != 1 || told[0].Chain != holders.Key("chain") || f.byKey[told[0].Server] == nil {
-		t.Errorf("told %v", told)
+	reported := f.TakeSent()
+	if len(reported) != 1 || reported[0].Chain != holders.Key("chain") || f.serversByKey[reported[0].Server] == nil {
+		t.Errorf("reported %v, want the chain once", reported)
 	}
 	if again := f.TakeSent(); len(again) != 0 {
-		t.Errorf("told again %v", again)
+		t.Errorf("reported again: %v", again)
 	}
-	for range maxUntold + 10 {
+	for range maxUnreportedPlaces + 10 {
 		send(copyJob())
 	}
-	if n := len(f.TakeSent()); n > maxUntold {
-		t.Errorf("%d places kept for a control host that is not reached", n)
+	if n := len(f.TakeSent()); n > maxUnreportedPlaces {
+		t.Errorf("%d places kept while no control host is reachable", n)
 	}
 }
 
-// TestRegionThatHoldsTheChain checks what is expected to be read again when a prompt
-// goes to another region: nothing where the chain was used lately, all of it elsewhere.
+// TestRegionThatHoldsTheChain checks how many tokens are expected to be read again if a prompt
+// goes to another region: none if the region used the chain recently, otherwise all.
 func TestRegionThatHoldsTheChain(t *testing.T) {
 	cases := []struct {
-		name string
-		told string // the region that told it holds the chain
-		age  time.Duration
-		job  *Job
-		want float64
+		name       string
+		reportedBy string // region that reported holding the chain
+		age        time.Duration
+		job        *Job
+		want       float64
 	}{
 		{"held there", "east", time.Second, copyJob(), 0},
 		{"held elsewhere", "north", time.Second, copyJob(), 6300},
 		{"held there long ago", "east", 25 * time.Second, copyJob(), 6300},
-		{"not told of, as the shared parts are short", "", time.Second, shortJob(), 100},
+		{"not reported, as the shared parts are short", "", time.Second, shortJob(), 100},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(2)
 			v := testView(2)
-			v.Prompts = holders.Encode(holders.InRegion(c.told, []holders.Place{{Chain: holders.Key("chain"), Server: 1}, {Chain: holders.Key("chain"), Server: 2}}))
+			v.Prompts = holders.Encode(holders.InRegion(c.reportedBy, []holders.Place{{Chain: holders.Key("chain"), Server: 1}, {Chain: holders.Key("chain"), Server: 2}}))
 			f.TakeView(v, Everything, start)
-			got := f.rereadAway(f.regions[regionKey{"east", "llm"}], c.job, start.Add(c.age))
+			got := f.rereadInRegion(f.regions[regionKey{"east", "llm"}], c.job, start.Add(c.age))
 			if got != c.want {
 				t.Errorf("%.0f tokens, want %.0f", got, c.want)
 			}
--- a/internal/core/dispatch/cost.go
+++ b/internal/core/dispatch/cost.go
@@ -7,64 +7,65 @@
 	"github.com/sesamefork/sesamefork/internal/core/speed"
 )
 
-// A place for a prompt is judged by what it costs all callers, in units of a short
-// request's worth: the request's own lateness, the pauses that it brings to the
-// answers already running there, and shared parts of the prompt that have to be
-// read again. An engine reads prompts in chunks between the steps of its batch; two
-// long prompts in a row pause every answer there for longer than callers accept.
+// A candidate for a request is rated by the loss that it causes to all callers, in units of the
+// value of a short request: the lateness of the request itself, the pauses that it causes in
+// the answers already running there, and shared parts of the prompt that have to be read again.
+// An engine reads prompts in chunks between the steps of its batch; two long prompts in a row
+// pause every answer there for longer than callers accept.
 
-// Figures of the engines, as their sheets state them, and of the losses.
+// Parameters of the engines, from their specifications, and of the losses.
 const (
-	// stepBase and stepPerRequest give the length of a step, in ms, with the
-	// requests that run; the second includes the context that each brings.
-	stepBase       = 5.0
-	stepPerRequest = 0.03
-	// pauseFrom and pauseSure bound the continuous reading, in ms, at which an
-	// answer's pause becomes too long: five steps per event, 600 ms accepted.
-	pauseFrom = 250.0
-	pauseSure = 600.0
-	// longLoss and shortLoss are what a late answer to a long and a short prompt
-	// costs. Long prompts ask for three to four times the work of short ones.
+	// stepBaseMS and stepPerRequestMS give the duration of a step, in ms, as a function of the
+	// number of running requests; the second includes the context of each request.
+	stepBaseMS       = 5.0
+	stepPerRequestMS = 0.03
+	// pauseRiskFromMS and pauseCertainMS are the durations of continuous reading, in ms,
+	// between which the probability that an answer pauses for too long rises from 0 to 1: an
+	// event covers five steps, and a pause of 600 ms is accepted.
+	pauseRiskFromMS = 250.0
+	pauseCertainMS  = 600.0
+	// longLoss and shortLoss are the losses of a late answer to a long and to a short prompt. A
+	// long prompt causes three to four times the work of a short one.
 	longLoss  = 4.5
 	shortLoss = 1.3
-	// pausedShare is the part of the answers running at an engine that a pause
-	// makes late: the rest is late already or has room.
+	// pausedShare is the fraction of the answers running at an engine that a pause makes late:
+	// the others are late already or have slack.
 	pausedShare = 0.5
-	// rereadLoss is what reading 1,000 tokens of a shared part again costs: work
-	// that the engine's other callers wait for.
+	// rereadLoss is the loss of reading 1,000 tokens of a shared part again, for which the
+	// engine's other callers wait.
 	rereadLoss = 0.6
-	// delayLoss is what a second to the first token costs while it is not late, so
-	// that of equal places the quicker is taken.
+	// delayLoss is the loss per second of time to the first token that is not late. It makes
+	// the faster of two otherwise equal candidates win.
 	delayLoss = 0.4
-	// busyLoss is what a short request loses at an engine that reads prompts all
-	// the time.
+	// busyLoss is the loss of a short request at an engine that spends all of its time on
+	// reading prompts.
 	busyLoss = 1.3
-	// rateMemory is how fast the rate of reading fades.
-	rateMemory = 3 * time.Second
+	// rateTimeConstant is the time constant with which the rate of reading decays.
+	rateTimeConstant = 3 * time.Second
 )
 
-// cost is a place's cost with the expected time to the first token.
+// cost is the loss of a candidate, with the expected time to the first token, in ms.
 type cost struct {
 	loss    float64
 	firstMS float64
 }
 
-// engineState is what the cost of an engine depends on.
+// engineState is the state of an engine on which its cost depends.
 type engineState struct {
 	requests, slots        float64
-	pendingMS              float64 // reading under way and queued
-	busy                   float64 // share of the time spent on reading
+	pendingMS              float64 // time to read the prompts being read and queued, in ms
+	readingShare           float64 // fraction of the time spent on reading
 	memory, memoryCapacity float64 // tokens of KV cache
 	off                    Mechanisms
 }
 
-// promptCost is the cost of a prompt of which the engine must read uncovered
-// tokens, reread of them shared ones that others had read before.
-func promptCost(e engineState, j *Job, uncovered, reread float64, learned *speed.Estimator) cost {
-	read := uncovered / learned.Rate()
-	step := stepBase + stepPerRequest*e.requests
-	first := learned.BeginMS() + e.pendingMS + read + (e.pendingMS+read)/100*step + step
-	first += waitForRoom(e, uncovered+j.Output, learned.HoldMS())
+// enginePromptCost returns the cost of a prompt of which the engine must read uncovered tokens;
+// reread of these are shared tokens that were read before for other requests.
+func enginePromptCost(e engineState, j *Job, uncovered, reread float64, estimator *speed.Estimator) cost {
+	read := uncovered / estimator.Rate()
+	step := stepBaseMS + stepPerRequestMS*e.requests
+	first := estimator.BeginMS() + e.pendingMS + read + (e.pendingMS+read)/100*step + step
+	first += admissionWaitMS(e, uncovered+j.Output, estimator.HoldMS())
 	own := shortLoss
 	if j.isLong() {
 		own = longLoss
@@ -76,16 +77,16 @@
 		loss += (after - before) * e.requests * pausedShare * shortLoss
 	}
 	if !e.off.Has(BusyCost) {
-		loss += own / shortLoss * busyLoss * math.Min(1, e.busy*e.busy)
+		loss += own / shortLoss * busyLoss * math.Min(1, e.readingShare*e.readingShare)
 	}
 	return cost{loss, first}
 }
 
-// deferLate makes a request whose first byte would be late wait behind all that can be in
-// time: it tells so, and adds the wait behind the others that are deferred already. In the
-// order of arrival an overloaded engine answers nearly all of them late
-// (TestOverloadServesSomeInTime).
-func (k *cost) deferLate(deferred float64, s *Server, j *Job, holdMS float64) bool {
+// deferIfLate reports whether the first byte would be late. If so, the request is to be queued
+// behind all that can meet their target, and the wait behind the requests that are deferred
+// already is added to its cost. If an overloaded engine served requests in the order of
+// arrival, nearly all would be late (TestOverloadServesSomeInTime).
+func (k *cost) deferIfLate(deferred float64, s *Server, j *Job, holdMS float64) bool {
 	if !j.Engine || j.Target <= 0 || k.firstMS <= float64(j.Target.Milliseconds()) {
 		return false
 	}
@@ -95,12 +96,12 @@
 	return true
 }
 
-// waitForRoom is the wait for a slot and for KV cache, in ms, while requests keep a slot for
-// holdMS.
-func waitForRoom(e engineState, tokens, holdMS float64) float64 {
+// admissionWaitMS returns the wait for a slot and for KV cache, in ms, if a request holds its
+// slot for holdMS.
+func admissionWaitMS(e engineState, tokens, holdMS float64) float64 {
 	wait := 0.0
 	if over := e.memory + tokens - e.memoryCapacity; over > 0 && e.memoryCapacity > 0 {
-		wait += over / releasePerMS
+		wait += over / kvReleaseTokensPerMS
 	}
 	if over := e.requests + 1 - e.slots; over > 0 {
 		wait += over * holdMS / e.slots
@@ -108,14 +109,14 @@
 	return wait
 }
 
-// pauseRisk is how likely continuous reading of this length, in ms, pauses an
-// answer for too long.
+// pauseRisk returns the probability that continuous reading for readingMS pauses an answer for
+// too long.
 func pauseRisk(readingMS float64) float64 {
-	return math.Min(1, math.Max(0, (readingMS-pauseFrom)/(pauseSure-pauseFrom)))
+	return math.Min(1, math.Max(0, (readingMS-pauseRiskFromMS)/(pauseCertainMS-pauseRiskFromMS)))
 }
 
-// lateRisk is how likely a first token expected after ms comes too late: the
-// estimate is off by half of the target either way.
+// lateRisk returns the probability that a first token expected after ms is late. It rises
+// linearly between 0.6 and 1.4 times the target, to allow for the error of the estimate.
 func lateRisk(ms float64, target time.Duration) float64 {
 	t := float64(target.Milliseconds())
 	if t <= 0 {
@@ -124,7 +125,7 @@
 	return math.Min(1, math.Max(0, (ms/t-0.6)/0.8))
 }
 
-// rate is the moving rate at which work comes, in ms of reading per second.
+// rate is an exponentially decaying average of incoming work, in ms of reading per second.
 type rate struct {
 	value float64
 	at    time.Time
@@ -134,10 +135,10 @@
 	if r.at.IsZero() {
 		return 0
 	}
-	return r.value * math.Exp(-now.Sub(r.at).Seconds()/rateMemory.Seconds())
+	return r.value * math.Exp(-now.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
 }
 
 func (r *rate) add(ms float64, now time.Time) {
-	r.value = r.now(now) + ms/rateMemory.Seconds()
+	r.value = r.now(now) + ms/rateTimeConstant.Seconds()
 	r.at = now
 }
--- a/internal/core/dispatch/crashing_load_test.go
+++ b/internal/core/dispatch/crashing_load_test.go
@@ -12,43 +12,45 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Figures of the played engines and of the callers.
+// Parameters of the simulated engines and reports.
 const (
-	crashPlayStep = 10 * time.Millisecond
-	engineAnswer  = 2 * time.Second        // of a healthy request
-	crashAfter    = 100 * time.Millisecond // from its begin to the end of the engine
-	engineDown    = 3300 * time.Millisecond
-	// newsEvery is how long a host's evidence and an engine's start may be under way to the
-	// others: a presentation, an exchange between control hosts, a view.
-	newsEvery = 600 * time.Millisecond
+	crashStep         = 10 * time.Millisecond
+	engineAnswerTime  = 2 * time.Second        // time to answer a healthy request
+	crashAfter        = 100 * time.Millisecond // from the start of the crashing request to the engine's crash
+	engineRestartTime = 3300 * time.Millisecond
+	// reportInterval is the delay after which a host's evidence and an engine's restart have
+	// reached the other hosts: a report to a control host, an exchange between control hosts,
+	// and a view.
+	reportInterval = 600 * time.Millisecond
 )
 
-// crashPlay plays a region of many hosts whose engines end under some requests. Each host
-// decides on what it was told up to newsEvery ago.
-type crashPlay struct {
-	rnd     *rand.Rand
-	now     time.Time
-	hosts   []*Fleet
-	tables  []*quarantine.Table // nil entries: hosts that recognise nothing
-	engines []*crashEngine
-	due     map[time.Time][]func()
-	control *quarantine.Table // of the control hosts, which put together what hosts tell
-	told    []uint64          // by host, up to which revision it told them
-	heard   uint64            // up to which revision they told the hosts
+// crashSimulation simulates a region of many entry hosts in which some requests crash the
+// engine that runs them. Each host decides on reports that are up to reportInterval old.
+type crashSimulation struct {
+	rnd               *rand.Rand
+	now               time.Time
+	hosts             []*Fleet
+	tables            []*quarantine.Table // nil if crashing requests are not recognized
+	engines           []*crashEngine
+	due               map[time.Time][]func()
+	control           *quarantine.Table // merged records of all hosts, at the control hosts
+	reportedRevisions []uint64          // by host: revision up to which its records were reported
+	publishedRevision uint64            // revision up to which the merged records were sent to the hosts
 
-	// endsPerS engines end by themselves, and all at allEndAt; popular is the share of the
-	// healthy requests that are one of a few which many callers send.
-	endsPerS float64
-	allEndAt time.Duration
-	popular  float64
+	// crashesPerS engines crash per second without a crashing request, and all at allCrashAt.
+	// popular is the fraction of healthy requests that are one of a few which many callers
+	// send.
+	crashesPerS float64
+	allCrashAt  time.Duration
+	popular     float64
 
-	ends       []time.Time
-	reached    []time.Time // when the crashing request began to run
-	asked      int         // healthy requests
-	lost       int         // of these broken off by an engine's end
-	misjudged  int         // of these refused as crashing
-	postponed  int         // of these told to come back, as they may be
-	unanswered int         // of these lost for good
+	crashTimes   []time.Time
+	crashingRuns []time.Time // times at which the crashing request started to run
+	healthySent  int         // healthy requests sent
+	interrupted  int         // of these, interrupted by the crash of an engine
+	quarantined  int         // of these, refused as crashing
+	postponed    int         // of these, asked to retry later as suspected of crashing
+	unanswered   int         // of these, never answered
 }
 
 type crashEngine struct {
@@ -67,20 +69,20 @@
 type crashRequest struct {
 	fingerprint quarantine.Fingerprint
 	crashes     bool
-	repeats     int // that the system may still make
-	again       bool
+	repeats     int // attempts left after an interruption
+	repeated    bool
 	judgement   quarantine.Judgement
 }
 
-func newCrashPlay(seed int64, hosts, engines int, watch bool) *crashPlay {
-	p := &crashPlay{rnd: rand.New(rand.NewSource(seed)), now: start, due: map[time.Time][]func(){}, told: make([]uint64, hosts), control: quarantine.New(quarantine.Options{})}
+func newCrashSimulation(seed int64, hosts, engines int, recognize bool) *crashSimulation {
+	p := &crashSimulation{rnd: rand.New(rand.NewSource(seed)), now: start, due: map[time.Time][]func(){}, reportedRevisions: make([]uint64, hosts), control: quarantine.New(quarantine.Options{})}
 	for i := range engines {
 		p.engines = append(p.engines, &crashEngine{id: fmt.Sprintf("s%02d", i), up: true, running: map[int]*crashRun{}})
 	}
 	for i := range hosts {
 		p.hosts = append(p.hosts, New(Options{Host: fmt.Sprintf("h%03d", i), Region: "west", FailureDomain: "w1", Random: p.rnd.Float64}))
 		var table *quarantine.Table
-		if watch {
+		if recognize {
 			table = quarantine.New(quarantine.Options{Host: fmt.Sprintf("h%03d", i)})
 		}
 		p.tables = append(p.tables, table)
@@ -88,15 +90,16 @@
 	return p
 }
 
-func (p *crashPlay) after(d time.Duration, f func()) {
-	at := p.now.Add(d.Round(crashPlayStep))
+func (p *crashSimulation) after(d time.Duration, f func()) {
+	at := p.now.Add(d.Round(crashStep))
 	p.due[at] = append(p.due[at], f)
 }
 
 func (e *crashEngine) key() string { return fmt.Sprintf("%s-%d", e.id, e.starts) }
 
-// tell gives every host the servers that are up, and what all hosts saw of crashing requests.
-func (p *crashPlay) tell() {
+// exchangeReports gives every host the list of servers that are up and the merged records of
+// crashing requests.
+func (p *crashSimulation) exchangeReports() {
 	v := &pb.FleetView{}
 	for _, e := range p.engines {
 		if e.up {
@@ -106,12 +109,12 @@
 	for i, t := range p.tables {
 		if t != nil {
 			var own []*pb.QuarantineRecord
-			own, p.told[i] = t.Since(p.told[i], 1000, quarantine.Own, p.now)
+			own, p.reportedRevisions[i] = t.Since(p.reportedRevisions[i], 1000, quarantine.Own, p.now)
 			p.control.Merge(own, p.now)
 		}
 	}
 	var records []*pb.QuarantineRecord
-	records, p.heard = p.control.Since(p.heard, 1000, quarantine.Decisive, p.now)
+	records, p.publishedRevision = p.control.Since(p.publishedRevision, 1000, quarantine.Decisive, p.now)
 	for i, h := range p.hosts {
 		h.TakeView(v, Everything, p.now)
 		if p.tables[i] != nil {
@@ -120,16 +123,16 @@
 	}
 }
 
-// send lets a request enter at a host.
-func (p *crashPlay) send(host int, r *crashRequest) {
+// send sends a request to a host.
+func (p *crashSimulation) send(host int, r *crashRequest) {
 	t := p.tables[host]
 	if t != nil {
-		r.judgement = t.Begin(r.fingerprint, r.again, p.now)
+		r.judgement = t.Begin(r.fingerprint, r.repeated, p.now)
 		if v := r.judgement.Verdict; v == quarantine.Quarantined || v == quarantine.Busy {
 			switch {
 			case r.crashes:
 			case v == quarantine.Quarantined:
-				p.misjudged++
+				p.quarantined++
 			default:
 				p.postponed++
 			}
@@ -148,15 +151,15 @@
 	starts := e.starts
 	e.running[id] = &crashRun{host, c, r}
 	if r.crashes {
-		p.reached = append(p.reached, p.now)
+		p.crashingRuns = append(p.crashingRuns, p.now)
 		p.after(crashAfter, func() {
 			if e.up && e.starts == starts {
-				p.end(e)
+				p.crash(e)
 			}
 		})
 		return
 	}
-	p.after(engineAnswer, func() {
+	p.after(engineAnswerTime, func() {
 		if x := e.running[id]; x != nil && e.starts == starts {
 			delete(e.running, id)
 			p.hosts[host].Ended(c, Served, time.Second, p.now)
@@ -168,8 +171,9 @@
 	})
 }
 
-// place chooses an engine that takes the request; a host may not know yet that some are away.
-func (p *crashPlay) place(host int, r *crashRequest) (*Choice, *crashEngine) {
+// place chooses an engine for the request. The host may choose engines of whose crash it has no
+// report yet; these refuse the connection.
+func (p *crashSimulation) place(host int, r *crashRequest) (*Choice, *crashEngine) {
 	j := shortJob()
 	j.Ends = r.judgement.Ends
 	for range 1 + connectTries {
@@ -187,16 +191,17 @@
 	return nil, nil
 }
 
-// connectTries is how many more engines are tried when one refuses the connection.
+// connectTries is the number of further engines that are tried after one refuses the
+// connection.
 const connectTries = 3
 
-func (p *crashPlay) finish(host int, r *crashRequest) {
+func (p *crashSimulation) finish(host int, r *crashRequest) {
 	if t := p.tables[host]; t != nil {
 		t.Finish(r.fingerprint, r.judgement)
 	}
 }
 
-func (p *crashPlay) engineOf(c *Choice) *crashEngine {
+func (p *crashSimulation) engineOf(c *Choice) *crashEngine {
 	if c.Server == nil {
 		return nil
 	}
@@ -208,10 +213,10 @@
 	return nil
 }
 
-// end ends an engine with all that it runs. Hosts that had requests there find that no process
-// listens; those that may be repeated are sent again, once.
-func (p *crashPlay) end(e *crashEngine) {
-	p.ends = append(p.ends, p.now)
+// crash stops an engine with all requests that it runs. The hosts of these requests observe a
+// broken connection, and repeat those that may be repeated.
+func (p *crashSimulation) crash(e *crashEngine) {
+	p.crashTimes = append(p.crashTimes, p.now)
 	key, runs := e.key(), e.running
 	e.up, e.running = false, map[int]*crashRun{}
 	e.starts++
@@ -223,77 +228,78 @@
 		}
 		p.finish(x.host, x.job)
 		if !x.job.crashes {
-			p.lost++
+			p.interrupted++
 		}
 		switch {
 		case x.job.repeats > 0:
 			x.job.repeats--
-			x.job.again = true
+			x.job.repeated = true
 			p.send(x.host, x.job)
 		case !x.job.crashes:
 			p.unanswered++
 		}
 	}
-	p.after(engineDown, func() { e.up = true })
+	p.after(engineRestartTime, func() { e.up = true })
 }
 
-// play lets healthy requests come at a rate, and from a second on the crashing request again
-// and again at random hosts.
-func (p *crashPlay) play(length time.Duration, healthyPerS, crashingPerS float64) {
+// run simulates healthy requests at a rate and, after the first second, the crashing request at
+// another rate, at random hosts.
+func (p *crashSimulation) run(length time.Duration, healthyPerS, crashingPerS float64) {
 	crashing := quarantine.Identity{Target: "crashing"}.Fingerprint()
-	for step := time.Duration(0); step < length; step += crashPlayStep {
-		if step%newsEvery == 0 {
-			p.tell()
+	for step := time.Duration(0); step < length; step += crashStep {
+		if step%reportInterval == 0 {
+			p.exchangeReports()
 		}
 		for _, f := range p.due[p.now] {
 			f()
 		}
 		delete(p.due, p.now)
-		for range p.drawn(healthyPerS) {
-			p.asked++
-			name := fmt.Sprint("healthy ", p.asked)
+		for range p.arrivals(healthyPerS) {
+			p.healthySent++
+			name := fmt.Sprint("healthy ", p.healthySent)
 			if p.rnd.Float64() < p.popular {
 				name = fmt.Sprint("popular ", p.rnd.Intn(popularRequests))
 			}
 			p.send(p.rnd.Intn(len(p.hosts)), &crashRequest{fingerprint: quarantine.Identity{Target: name}.Fingerprint(), repeats: 1})
 		}
-		p.endSome(step)
+		p.crashRandomEngines(step)
 		if step > time.Second {
-			for range p.drawn(crashingPerS) {
+			for range p.arrivals(crashingPerS) {
 				p.send(p.rnd.Intn(len(p.hosts)), &crashRequest{fingerprint: crashing, crashes: true})
 			}
 		}
-		p.now = p.now.Add(crashPlayStep)
+		p.now = p.now.Add(crashStep)
 	}
 }
 
-// firstEnds is when engines begin to end: some requests have been answered by then. Without
-// any answer yet, a request that many callers send can't be told from one that crashes servers.
-const firstEnds = 4 * time.Second
+// firstCrashAt is the time from which engines crash without a crashing request: some requests
+// have been answered by then. Without any answer, a request that many callers send cannot be
+// told from one that crashes servers.
+const firstCrashAt = 4 * time.Second
 
-// popularRequests is the number of requests that many callers send.
+// popularRequests is the number of distinct requests that many callers send.
 const popularRequests = 10
 
-// endSome ends engines for reasons of their own.
-func (p *crashPlay) endSome(step time.Duration) {
-	if step < firstEnds {
+// crashRandomEngines crashes engines for reasons other than a crashing request.
+func (p *crashSimulation) crashRandomEngines(step time.Duration) {
+	if step < firstCrashAt {
 		return
 	}
-	for range p.drawn(p.endsPerS) {
+	for range p.arrivals(p.crashesPerS) {
 		if e := p.engines[p.rnd.Intn(len(p.engines))]; e.up {
-			p.end(e)
+			p.crash(e)
 		}
 	}
 	for _, e := range p.engines {
-		if p.allEndAt > 0 && step == p.allEndAt && e.up {
-			p.end(e)
+		if p.allCrashAt > 0 && step == p.allCrashAt && e.up {
+			p.crash(e)
 		}
 	}
 }
 
-// drawn is how many requests come in a step.
-func (p *crashPlay) drawn(perS float64) int {
-	mean, n := perS*crashPlayStep.Seconds(), 0
+// arrivals draws the number of events in a step for a rate per second.
+func (p *crashSimulation) arrivals(perS float64) int {
+	mean, n := perS*crashStep.Seconds(), 0
 	for ; mean > 0; mean-- {
 		if p.rnd.Float64() < mean {
 			n++
@@ -302,24 +308,26 @@
 	return n
 }
 
-// repeatsAfter counts how often the crashing request ran later than so long after the third end.
-func (p *crashPlay) repeatsAfter(d time.Duration) int {
-	if len(p.ends) < quarantine.Crashes {
+// runsAfterThirdCrash returns how often the crashing request started to run more than d after
+// crash number quarantine.Crashes, the third one.
+func (p *crashSimulation) runsAfterThirdCrash(d time.Duration) int {
+	if len(p.crashTimes) < quarantine.Crashes {
 		return 0
 	}
 	n := 0
-	for _, at := range p.reached {
-		if at.After(p.ends[quarantine.Crashes-1].Add(d)) {
+	for _, at := range p.crashingRuns {
+		if at.After(p.crashTimes[quarantine.Crashes-1].Add(d)) {
 			n++
 		}
 	}
 	return n
 }
 
-// TestCrashingRequestAmongManyHosts plays a request that ends engines among hosts that know
-// of each other's evidence up to 0.6 s late. Once it has ended three, it runs no more than three
-// times later than the stability window of 6 s, whatever its rate; no healthy request is refused,
-// and few lose their answers for good. Hosts that recognise nothing lose engine after engine.
+// TestCrashingRequestAmongManyHosts simulates a request that crashes engines, with hosts that
+// receive each other's evidence up to 0.6 s late. After the request has crashed three engines,
+// it must run at most three times later than the stability window of 6 s, whatever its rate. No
+// healthy request may be refused as crashing. Without recognition it crashes one engine after
+// another.
 func TestCrashingRequestAmongManyHosts(t *testing.T) {
 	const (
 		window  = 6 * time.Second
@@ -332,47 +340,48 @@
 		{9, 12, 1.5}, {9, 12, 10}, {79, 70, 1.5}, {79, 70, 10}, {300, 60, 2}, {300, 60, 20},
 	} {
 		t.Run(fmt.Sprintf("%d hosts, %g per s", c.hosts, c.rate), func(t *testing.T) {
-			with, without := newCrashPlay(1, c.hosts, c.engines, true), newCrashPlay(1, c.hosts, c.engines, false)
-			for _, p := range []*crashPlay{with, without} {
-				p.play(16*time.Second, float64(4*c.engines), c.rate)
+			with, without := newCrashSimulation(1, c.hosts, c.engines, true), newCrashSimulation(1, c.hosts, c.engines, false)
+			for _, p := range []*crashSimulation{with, without} {
+				p.run(16*time.Second, float64(4*c.engines), c.rate)
 			}
-			t.Logf("ends %d -> %d; runs after the third end %d -> %d, later than 6 s %d -> %d; of %d healthy requests broken off %d -> %d, unanswered %d -> %d; misjudged %d",
-				len(without.ends), len(with.ends), without.repeatsAfter(0), with.repeatsAfter(0), without.repeatsAfter(window), with.repeatsAfter(window),
-				with.asked, without.lost, with.lost, without.unanswered, with.unanswered, with.misjudged)
-			if got := without.repeatsAfter(window); got <= allowed {
-				t.Errorf("without recognition the request ran %d times: the test shows nothing", got)
+			t.Logf("crashes %d -> %d; runs after the third crash %d -> %d, later than 6 s %d -> %d; of %d healthy requests interrupted %d -> %d, unanswered %d -> %d; refused as crashing %d",
+				len(without.crashTimes), len(with.crashTimes), without.runsAfterThirdCrash(0), with.runsAfterThirdCrash(0), without.runsAfterThirdCrash(window), with.runsAfterThirdCrash(window),
+				with.healthySent, without.interrupted, with.interrupted, without.unanswered, with.unanswered, with.quarantined)
+			if got := without.runsAfterThirdCrash(window); got <= allowed {
+				t.Errorf("without recognition the request ran only %d times, so the effect was not tested", got)
 			}
-			if got := with.repeatsAfter(window); got > allowed {
-				t.Errorf("it ran %d times later than %s after the third end", got, window)
+			if got := with.runsAfterThirdCrash(window); got > allowed {
+				t.Errorf("the crashing request ran %d times later than %s after the third crash", got, window)
 			}
-			if with.misjudged > 0 {
-				t.Errorf("%d healthy requests were refused as crashing", with.misjudged)
+			if with.quarantined > 0 {
+				t.Errorf("%d healthy requests were refused as crashing", with.quarantined)
 			}
 		})
 	}
 }
 
-// TestEnginesThatEndByThemselves plays engines that end again and again for reasons of their
-// own, and once all at the same moment, under healthy requests of which some are the same for
-// many callers: none of them is refused as crashing.
+// TestEnginesThatEndByThemselves simulates engines that crash repeatedly for other reasons than
+// the request, once all at the same time, while some healthy requests are identical for many
+// callers. None of them may be refused as crashing.
 func TestEnginesThatEndByThemselves(t *testing.T) {
 	for seed := range int64(5) {
-		p := newCrashPlay(seed, 9, 12, true)
-		p.endsPerS, p.allEndAt, p.popular = 2, 8*time.Second, 0.3
-		p.play(20*time.Second, 120, 0)
-		t.Logf("%d engines ended; of %d requests %d were broken off, %d unanswered, %d told to come back, %d refused as crashing", len(p.ends), p.asked, p.lost, p.unanswered, p.postponed, p.misjudged)
-		if len(p.ends) < 20 || p.lost < 100 {
-			t.Errorf("%d engines ended, %d requests were broken off: the test shows nothing", len(p.ends), p.lost)
+		p := newCrashSimulation(seed, 9, 12, true)
+		p.crashesPerS, p.allCrashAt, p.popular = 2, 8*time.Second, 0.3
+		p.run(20*time.Second, 120, 0)
+		t.Logf("%d engines crashed; of %d requests %d were interrupted, %d unanswered, %d asked to retry, %d refused as crashing", len(p.crashTimes), p.healthySent, p.interrupted, p.unanswered, p.postponed, p.quarantined)
+		if len(p.crashTimes) < 20 || p.interrupted < 100 {
+			t.Errorf("only %d engines crashed and %d requests were interrupted, too few to test the effect", len(p.crashTimes), p.interrupted)
 		}
-		if p.misjudged > 0 {
-			t.Errorf("seed %d: %d healthy requests were refused as crashing", seed, p.misjudged)
+		if p.quarantined > 0 {
+			t.Errorf("seed %d: %d healthy requests were refused as crashing", seed, p.quarantined)
 		}
 	}
 }
 
-// TestSuspectsRunWhereLittleIsLost chooses a server for a request by the ends before, and for
-// others beside one that is likely to end its server.
-func TestSuspectsRunWhereLittleIsLost(t *testing.T) {
+// TestSuspectsRunBesideFewRequests checks that a request under which servers have crashed goes
+// to the server with the fewest requests, and that other requests avoid that server while it
+// runs.
+func TestSuspectsRunBesideFewRequests(t *testing.T) {
 	f := newTestFleet(3)
 	busy := func(id string, n int) {
 		for range n {
@@ -399,7 +408,7 @@
 	}
 }
 
-// homeJob is a short job for servers of the own region.
+// homeJob returns a short job that only servers of the own region may run.
 func homeJob() *Job {
 	j := shortJob()
 	j.Permits = only("west")
--- a/internal/core/dispatch/defer_test.go
+++ b/internal/core/dispatch/defer_test.go
@@ -9,7 +9,8 @@
 	"github.com/sesamefork/sesamefork/internal/core/serverload"
 )
 
-// busyFleet has one engine of 16 slots at which 60 requests of other hosts are under way.
+// busyFleet returns a fleet with one engine of 16 slots that has 60 requests of other hosts
+// under way.
 func busyFleet() *Fleet {
 	f := newTestFleet(1)
 	v := testView(1)
@@ -21,13 +22,13 @@
 
 var s0 = holders.Key("s0")
 
-// TestDeferredRequests follows one request that is late in any case: until its first
-// byte it is told to the others as deferred only, and it leaves nothing behind.
+// TestDeferredRequests checks that a request that is expected late is reported as deferred
+// until its first byte arrives, and that its end removes it from the server's load.
 func TestDeferredRequests(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		first bool // the first byte comes
-	}{{"served", true}, {"the caller leaves before", false}} {
+		first bool // the first byte arrives
+	}{{"served", true}, {"the caller disconnects before", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := busyFleet()
 			choice := f.Choose(shortJob(), start)
@@ -36,7 +37,7 @@
 			}
 			f.Started(&choice, start)
 			if l := f.Loads(start); len(l) != 1 || l[s0].Deferred != 1 || l[s0].Requests != 0 {
-				t.Errorf("told as %v", l)
+				t.Errorf("reported as %v", l)
 			}
 			late := start.Add(3 * time.Second)
 			if f.servers["s0"].stalled(late) {
@@ -45,19 +46,19 @@
 			if c.first {
 				f.FirstByte(&choice, 0)
 				if l := f.Loads(late); l[s0].Deferred != 0 || l[s0].Requests != 1 {
-					t.Errorf("after the first byte told as %v", l)
+					t.Errorf("after the first byte reported as %v", l)
 				}
 			}
 			f.Ended(&choice, CallerEnded, 0, late)
 			if s := f.servers["s0"]; s.own != (load{}) || s.deferred != 0 {
-				t.Errorf("left behind: %+v, %d deferred", s.own, s.deferred)
+				t.Errorf("load after the end: %+v, %d deferred", s.own, s.deferred)
 			}
 		})
 	}
 }
 
-// TestDeferredRequestOfALostServer lets a server send nothing and not announce itself:
-// an attempt that was deferred there counts as lost like any other.
+// TestDeferredRequestOfALostServer checks that an attempt counts as lost if its server sends
+// nothing and misses its announcements, also if the attempt was deferred.
 func TestDeferredRequestOfALostServer(t *testing.T) {
 	f := busyFleet()
 	choice := f.Choose(shortJob(), start)
@@ -71,54 +72,55 @@
 	}
 }
 
-// playedEngine serves requests from its slots; those that are deferred after all others.
-type playedEngine struct {
+// simulatedEngine runs requests in a limited number of slots, deferred requests after all
+// others.
+type simulatedEngine struct {
 	f                *Fleet
-	running, waiting []*playedRequest
+	running, waiting []*simulatedRequest
 	inTime           int
 }
 
-type playedRequest struct {
+type simulatedRequest struct {
 	choice       Choice
 	arrived, end time.Time
 }
 
 const (
-	playedSlots = 16
-	playedHold  = time.Second // a request's time in its slot
+	engineSlots    = 16
+	engineHoldTime = time.Second // time for which a request holds its slot
 )
 
-// step ends what is done and admits what waits.
-func (e *playedEngine) step(now time.Time) {
-	e.running = slices.DeleteFunc(e.running, func(r *playedRequest) bool {
+// step ends the requests that are complete and starts waiting ones.
+func (e *simulatedEngine) step(now time.Time) {
+	e.running = slices.DeleteFunc(e.running, func(r *simulatedRequest) bool {
 		done := !r.end.After(now)
 		if done {
 			e.f.Ended(&r.choice, Served, 0, now)
 		}
 		return done
 	})
-	for len(e.running) < playedSlots && len(e.waiting) > 0 {
-		next := max(0, slices.IndexFunc(e.waiting, func(r *playedRequest) bool { return !r.choice.Deferred }))
+	for len(e.running) < engineSlots && len(e.waiting) > 0 {
+		next := max(0, slices.IndexFunc(e.waiting, func(r *simulatedRequest) bool { return !r.choice.Deferred }))
 		r := e.waiting[next]
 		e.waiting = slices.Delete(e.waiting, next, next+1)
 		e.f.FirstByte(&r.choice, 0)
 		if now.Sub(r.arrived) <= r.choice.job.Target {
 			e.inTime++
 		}
-		r.end = now.Add(playedHold)
+		r.end = now.Add(engineHoldTime)
 		e.running = append(e.running, r)
 	}
 }
 
-// TestOverloadServesSomeInTime plays 20 s in which one engine gets 33 requests a second
-// and can serve 16. In the order of arrival the queue soon takes longer than the target
-// and nearly all are late (0.05 in time); deferring keeps those in time that can be.
+// TestOverloadServesSomeInTime simulates 20 s in which one engine receives 33 requests per
+// second and can serve 16. In the order of arrival the queue soon exceeds the target and nearly
+// all requests are late (0.05 in time). Deferral serves those in time that can still be.
 func TestOverloadServesSomeInTime(t *testing.T) {
 	f := newTestFleet(1)
 	v := testView(1)
-	v.Regions, v.Servers[0].Slots = nil, playedSlots
+	v.Regions, v.Servers[0].Slots = nil, engineSlots
 	f.TakeView(v, Everything, start)
-	e := &playedEngine{f: f}
+	e := &simulatedEngine{f: f}
 	all := 0
 	for ms := 0; ms < 20_000; ms += 10 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
@@ -131,7 +133,7 @@
 		j.Permits = only("west")
 		if c := f.Choose(j, now); c.Server != nil {
 			f.Started(&c, now)
-			e.waiting = append(e.waiting, &playedRequest{choice: c, arrived: now})
+			e.waiting = append(e.waiting, &simulatedRequest{choice: c, arrived: now})
 		}
 	}
 	share := float64(e.inTime) / float64(all)
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// newTestFleet returns a fleet of region "west" with n engines and one host.
+// newTestFleet returns a fleet of region "west" with n engines and one entry host.
 func newTestFleet(n int) *Fleet {
 	rnd := rand.New(rand.NewSource(1))
 	f := New(Options{Host: "h1", Region: "west", FailureDomain: "w1", Random: rnd.Float64, PrefillRate: 38 / 1.25})
@@ -33,26 +33,26 @@
 	return v
 }
 
-var jobs int // makes the own part of each job another
+var jobCount int // makes the last part of each job's prompt unique
 
 func shortJob() *Job {
-	jobs++
-	return &Job{Service: "llm", Engine: true, MemoryTokens: 180_000, Prompt: 800, Output: 290, Parts: []Part{{"a", 120}, {"b", 80}, {fmt.Sprint("own", jobs), 600}},
+	jobCount++
+	return &Job{Service: "llm", Engine: true, MemoryTokens: 180_000, Prompt: 800, Output: 290, Parts: []Part{{"a", 120}, {"b", 80}, {fmt.Sprint("own", jobCount), 600}},
 		Permits: func(string) bool { return true }, Remaining: 15 * time.Second, Target: time.Second, Tried: map[string]bool{}, ColdPerSecond: 2.6}
 }
 
 func longJob(chain string) *Job {
 	j := shortJob()
 	j.Prompt, j.Output = 9200, 50
-	j.Parts = []Part{{"top", 2500}, {chain, 3800}, {fmt.Sprint("own", jobs), 2900}}
+	j.Parts = []Part{{"top", 2500}, {chain, 3800}, {fmt.Sprint("own", jobCount), 2900}}
 	return j
 }
 
 func only(region string) func(string) bool { return func(r string) bool { return r == region } }
 
-// TestPlacesThatAreLeftOut checks each reason not to send to a server: the
-// request goes to the other one.
-func TestPlacesThatAreLeftOut(t *testing.T) {
+// TestUnusableServersAreExcluded checks each reason not to send to a server: the request must
+// go to the other one.
+func TestUnusableServersAreExcluded(t *testing.T) {
 	cases := []struct {
 		name string
 		make func(*Fleet, *pb.FleetView)
@@ -64,12 +64,12 @@
 			v.Servers[0].FailureDomain = "w2"
 			v.Evacuated, v.EvacuationRevision = []string{"w2"}, 1
 		}, 0},
-		{"silent since before the last view", func(_ *Fleet, v *pb.FleetView) { v.Servers[0].AgeMs = 5000 }, 5 * time.Second},
-		{"failing", func(f *Fleet, _ *pb.FleetView) { f.servers["s0"].health.broke(start) }, 0},
+		{"without announcements at the last view", func(_ *Fleet, v *pb.FleetView) { v.Servers[0].AgeMs = 5000 }, 5 * time.Second},
+		{"failing", func(f *Fleet, _ *pb.FleetView) { f.servers["s0"].health.recordConnectionFailure(start) }, 0},
 		{"cold and over its rate", func(f *Fleet, v *pb.FleetView) {
 			v.Servers[0].ColdMs = 3000
 			now := start.Add(time.Second)
-			f.servers["s0"].coldAt = []time.Time{now, now}
+			f.servers["s0"].coldSends = []time.Time{now, now}
 		}, time.Second},
 	}
 	for _, c := range cases {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestLateViewsChangeNothing checks that what is known to be over stays over: a
-// leaving server, one that is gone, a later evacuation list.
+// TestLateViewsChangeNothing checks that a late view does not undo newer state: a server that
+// is leaving, one that is gone, and a later list of evacuations.
 func TestLateViewsChangeNothing(t *testing.T) {
 	f := newTestFleet(2)
 	v := testView(2)
@@ -102,18 +102,18 @@
 	late.EvacuationRevision = 3
 	f.TakeView(late, Everything, start)
 	if !f.servers["s0"].Leaving {
-		t.Error("a leaving server was taken back")
+		t.Error("a leaving server is used again")
 	}
-	if _, gone := f.gone["s1"]; f.servers["s1"] != nil || !gone {
-		t.Error("a server that is gone came back")
+	if _, gone := f.departures["s1"]; f.servers["s1"] != nil || !gone {
+		t.Error("a server that is gone is used again")
 	}
 	if len(f.evacuated) != 1 {
-		t.Error("an older list of evacuations was taken")
+		t.Error("an older list of evacuations was applied")
 	}
 }
 
-// TestCutOffHostKeepsItsServers lets no control host be heard for long: the
-// servers last known stay in use.
+// TestCutOffHostKeepsItsServers checks that the last known servers stay in use while no view
+// arrives.
 func TestCutOffHostKeepsItsServers(t *testing.T) {
 	f := newTestFleet(2)
 	if c := f.Choose(shortJob(), start.Add(time.Minute)); c.Server == nil {
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestSilentServerIsNotGivenUp lets a server send nothing for long. Others go
-// first, but as long as it announces itself it may just be full: an attempt there
-// goes on, and when it is the only one it still gets requests.
+// TestSilentServerIsNotGivenUp checks a server that sends nothing for long. Other servers are
+// preferred, but while it announces itself it may just be full: an attempt there is not lost,
+// and if no other server is left it still gets requests.
 func TestSilentServerIsNotGivenUp(t *testing.T) {
 	f := newTestFleet(2)
 	v := testView(2)
@@ -133,7 +133,7 @@
 	later := start.Add(3 * time.Second)
 	f.TakeView(v, Everything, later)
 	if other := f.Choose(shortJob(), later); other.Server == c.Server {
-		t.Error("the silent server was chosen before the other")
+		t.Error("the silent server was preferred to the other")
 	}
 	if f.Lost(&c, later) {
 		t.Error("a server that announces itself counts as lost")
@@ -157,7 +157,7 @@
 	}
 }
 
-// TestOtherRegions checks when a request leaves the region.
+// TestOtherRegions checks under which conditions a request goes to another region.
 func TestOtherRegions(t *testing.T) {
 	busy := func(f *Fleet) {
 		for _, s := range f.servers {
@@ -172,15 +172,15 @@
 		away bool
 	}{
 		{"both idle", func(*Fleet) {}, func(*Job) {}, 0, false},
-		{"home busy", busy, func(*Job) {}, 0, true},
-		{"home busy, but the homes allow no other", busy, func(j *Job) { j.Permits = only("west") }, 0, false},
-		{"home busy, the request came from there", busy, func(j *Job) { j.Forwarded = true }, 0, false},
-		{"home busy, the other not heard lately", busy, func(*Job) {}, 2 * time.Second, false},
-		{"home busy, the entry host there not reached lately", func(f *Fleet) {
+		{"own region busy", busy, func(*Job) {}, 0, true},
+		{"own region busy, but no other is permitted", busy, func(j *Job) { j.Permits = only("west") }, 0, false},
+		{"own region busy, but the request came from the other", busy, func(j *Job) { j.Forwarded = true }, 0, false},
+		{"own region busy, but the other's figures too old", busy, func(*Job) {}, 2 * time.Second, false},
+		{"own region busy, but the other's entry host recently unreachable", func(f *Fleet) {
 			busy(f)
 			f.hosts["east"][0].suspectUntil = start.Add(time.Second)
 		}, func(*Job) {}, 0, false},
-		{"home not permitted", func(*Fleet) {}, func(j *Job) { j.Permits = only("east") }, 0, true},
+		{"own region not permitted", func(*Fleet) {}, func(j *Job) { j.Permits = only("east") }, 0, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestForwardsSpreadWithStaleFigures sends many requests within one view to a
-// region that looks idle: the own ones are counted, so that it isn't overrun.
+// TestForwardsSpreadWithStaleFigures sends many requests between two views while another region
+// looks idle. The host counts its own forwards, so that it does not overload that region.
 func TestForwardsSpreadWithStaleFigures(t *testing.T) {
 	f := newTestFleet(2)
 	away := 0
@@ -212,11 +212,12 @@
 		}
 	}
 	if away == 0 || away > 150 {
-		t.Errorf("%d of 200 requests left for a region of the same size", away)
+		t.Errorf("%d of 200 requests forwarded to a region of the same size", away)
 	}
 }
 
-// TestColdServer keeps to a cold server's rate, from one host only.
+// TestColdServer checks that one host sends a cold server no more than the rate that it
+// tolerates.
 func TestColdServer(t *testing.T) {
 	f := newTestFleet(1)
 	v := testView(1)
@@ -230,16 +231,16 @@
 			f.Started(&c, now)
 			sent++
 		} else if c.RetryAfter < time.Second {
-			t.Fatalf("told to come back after %s, the server is cold for 3 s", c.RetryAfter)
+			t.Fatalf("retry after %s, want at least 1s: the server is cold for 3 s", c.RetryAfter)
 		}
 	}
 	if sent == 0 || sent > 3 {
-		t.Errorf("%d requests in a second; the server bears 2.6", sent)
+		t.Errorf("%d requests in a second; the server tolerates 2.6", sent)
 	}
 }
 
-// TestSharedPartsStayTogether sends prompts of a few chains under light load:
-// each chain keeps to one engine, so that its shared parts are read once.
+// TestSharedPartsStayTogether sends prompts of a few chains under light load: each chain must
+// stay at one or two engines, so that its shared parts are not read by all of them.
 func TestSharedPartsStayTogether(t *testing.T) {
 	f := newTestFleet(4)
 	at := map[string]map[string]bool{}
@@ -264,7 +265,7 @@
 	}
 }
 
-// TestNoServerOfTheService asks for a service that nothing serves here.
+// TestNoServerOfTheService checks that a request for a service without servers is refused.
 func TestNoServerOfTheService(t *testing.T) {
 	f := newTestFleet(2)
 	j := longJob("c1")
@@ -274,9 +275,10 @@
 	}
 }
 
-// TestHeardServersStayInUse takes views that name only which servers were heard: one that is
-// not named falls silent when its announcements have lapsed, though it is on every list.
-func TestHeardServersStayInUse(t *testing.T) {
+// TestAnnouncedServersStayInUse applies views that list only which unchanged servers announced
+// themselves. A server that is not listed becomes silent after its announcements have expired,
+// although no view reports it as gone.
+func TestAnnouncedServersStayInUse(t *testing.T) {
 	f := New(Options{Region: "west", FailureDomain: "w1", Random: func() float64 { return 0.5 }})
 	f.TakeView(testView(2), Everything, start)
 	heard, silent := f.servers["s0"], f.servers["s1"]
@@ -289,9 +291,9 @@
 		f.TakeView(&pb.FleetView{HeardServers: []uint32{heard.key, 99}, HeardAges: []uint32{2}}, Scope{Fleet: true, SameHosts: true}, now)
 	}
 	if r := f.usable(heard, now); r != "" || now.Sub(heard.ConfirmedAt) != 100*time.Millisecond {
-		t.Errorf("the one that is heard: %q, confirmed %s ago", r, now.Sub(heard.ConfirmedAt))
+		t.Errorf("server with announcements: %q, last announced %s ago", r, now.Sub(heard.ConfirmedAt))
 	}
 	if r := f.usable(silent, now); r != "silent" {
-		t.Errorf("the one that is not: %q", r)
+		t.Errorf("server without announcements: %q", r)
 	}
 }
--- a/internal/core/dispatch/fleet.go
+++ b/internal/core/dispatch/fleet.go
@@ -1,8 +1,8 @@
-// Package dispatch decides, on an entry host, where a routed request goes: to
-// which backend server of the own region, or to which other region, or that it is
-// refused at once. It holds what the host knows of the servers: what the control
-// hosts tell of them, what the region's other entry hosts have under way there,
-// and what this host sent and saw itself. It does no I/O and reads no clock.
+// Package dispatch decides, on an entry host, where a routed request goes: to a backend server
+// of the own region, to another region, or nowhere, in which case the request is refused at
+// once. It holds the host's state of the servers, from three sources: the views of the control
+// hosts, the loads reported by the region's other entry hosts, and what this host sent and
+// observed itself. It does no I/O and reads no clock.
 package dispatch
 
 import (
@@ -21,14 +21,14 @@
 // Options configures a Fleet.
 type Options struct {
 	Host, Region, FailureDomain string
-	// Random returns a number in [0, 1).
+	// Random returns a random number in [0, 1).
 	Random func() float64
-	// PrefillRate is what the engines are taken to read in a ms until it is learned, in
-	// tokens; 0 for the start value of package speed.
+	// PrefillRate is the rate at which engines are assumed to read prompts until it has been
+	// measured, in tokens per ms; 0 for the default of package speed.
 	PrefillRate float64
-	// AnnounceEvery is the interval of the servers' announcements (default 1.2 s).
+	// AnnounceEvery is the interval at which servers announce themselves (default 1.2 s).
 	AnnounceEvery time.Duration
-	// Off are the mechanisms that an experiment goes without.
+	// Off is the set of mechanisms that are disabled for an experiment.
 	Off Mechanisms
 }
 
@@ -40,54 +40,55 @@
 	suspectUntil     time.Time
 }
 
-// region is what is known of another region's servers of one service.
+// region is the state of another region's servers of one service.
 type region struct {
 	servers, slots           float64
 	requests, prompt, memory float64
-	arrivals                 float64 // requests a second from the region's own callers
-	at                       time.Time
-	asked                    bool   // an entry host there told the figures
-	key                      uint32 // of the name, for holders
-	sent                     load   // own forwards begun since, or still under way
+	arrivals                 float64 // requests per second from the region's own callers
+	asOf                     time.Time
+	fromEntryHost            bool   // reported by an entry host of that region, not by a control host
+	key                      uint32 // key of the region's name in the holders table
+	forwarded                load   // this host's forwards that the reported figures may not include yet
 }
 
 type regionKey struct{ region, service string }
 
-// Fleet is what the host knows. It is not safe for concurrent use.
+// Fleet is an entry host's state of the servers, regions and other entry hosts. It is not safe
+// for concurrent use.
 type Fleet struct {
-	o              Options
-	servers        map[string]*Server
-	gone           map[string]departure // by server ID
-	hosts          map[string][]*Host   // entry hosts of other regions, by region
-	neighbors      []string             // ready entry hosts of the own region, this one included
-	neighborsSince time.Time            // when neighbors last changed
-	regions        map[regionKey]*region
-	evacuated      []string
-	revision       uint64
-	viewedAt       time.Time // last view from a control host
-	forgotAt       time.Time // see forget
-	chains         map[string]chainRate
-	arrivals       map[string]*arrivals        // by plain service
-	speeds         map[string]*speed.Estimator // by service
-	byKey          map[uint32]*Server
-	holders        *holders.Table
-	observed       map[string]*observed // by service
-	sent           []holders.Place      // not told to a control host yet
+	o                Options
+	servers          map[string]*Server
+	departures       map[string]departure // by server ID
+	hosts            map[string][]*Host   // ready entry hosts of other regions, by region
+	neighbors        []string             // IDs of the ready entry hosts of the own region, this one included
+	neighborsSince   time.Time            // time of the last change of neighbors
+	regions          map[regionKey]*region
+	evacuated        []string
+	revision         uint64
+	lastViewAt       time.Time // time of the last view from a control host
+	lastSweepAt      time.Time // time of the last sweep
+	chainRates       map[string]chainRate
+	arrivals         map[string]*arrivals        // by plain service
+	speeds           map[string]*speed.Estimator // by service
+	serversByKey     map[uint32]*Server
+	holders          *holders.Table
+	comparisons      map[string]*loadComparison // by service
+	unreportedPlaces []holders.Place            // not yet reported to a control host
 }
 
-// New returns a fleet without servers.
+// New returns a Fleet without servers.
 func New(o Options) *Fleet {
 	if o.AnnounceEvery == 0 {
 		o.AnnounceEvery = defaultAnnounceEvery
 	}
 	return &Fleet{
-		o: o, servers: map[string]*Server{}, gone: map[string]departure{}, hosts: map[string][]*Host{},
-		regions: map[regionKey]*region{}, chains: map[string]chainRate{}, arrivals: map[string]*arrivals{}, holders: holders.NewTable(),
-		byKey: map[uint32]*Server{}, speeds: map[string]*speed.Estimator{}, observed: map[string]*observed{},
+		o: o, servers: map[string]*Server{}, departures: map[string]departure{}, hosts: map[string][]*Host{},
+		regions: map[regionKey]*region{}, chainRates: map[string]chainRate{}, arrivals: map[string]*arrivals{}, holders: holders.NewTable(),
+		serversByKey: map[uint32]*Server{}, speeds: map[string]*speed.Estimator{}, comparisons: map[string]*loadComparison{},
 	}
 }
 
-// speedOf returns what was learned of a service's servers.
+// speedOf returns the speed estimator of a service's servers.
 func (f *Fleet) speedOf(service string) *speed.Estimator {
 	e := f.speeds[service]
 	if e == nil {
@@ -97,110 +98,115 @@
 	return e
 }
 
-// Times of the view.
+// Time limits of views and of the state taken from them.
 const (
-	// viewDelay is how much later than at its control host a server's announcement may be
-	// known here: an exchange between control hosts, a view, and the ways between them.
-	viewDelay = 900 * time.Millisecond
-	// regionSilence is how old another region's figures may be for a request to be
-	// sent there: they come three times a second and take 0.4 s, so older ones mean
-	// that the way there is probably cut. A request that is sent into a cut is lost.
-	regionSilence = 1200 * time.Millisecond
-	// stalledAfter is how long a server that has requests under way may send
-	// nothing at all before others go first: ten times a slow step. It may also
-	// just be full, so it is neither left out nor given up for that.
+	// maxViewDelay is the longest time from the arrival of a server's announcement at its
+	// control host to the arrival of the view with it on this host: an exchange between control
+	// hosts, a view, and the network delays between them.
+	maxViewDelay = 900 * time.Millisecond
+	// maxRegionAge is the age of another region's figures up to which requests are sent there.
+	// The figures arrive three times a second and are 0.4 s old by then, so older ones mean
+	// that the network path there is probably cut. A request that is sent into a cut is lost.
+	maxRegionAge = 1200 * time.Millisecond
+	// stalledAfter is the time after which a server that has requests under way and sends
+	// nothing at all counts as stalled and other servers are preferred: ten times the duration
+	// of a slow step. The server may also just be full, so it is neither excluded nor given up
+	// for that.
 	stalledAfter = time.Second
-	// forgetAfter is how long a silent server's state is kept.
-	forgetAfter = time.Minute
-	// forgetEvery is the pause between two looks for what is to be forgotten.
-	forgetEvery = time.Second
-	// goneFor is how long a server that left is remembered, for late views.
-	goneFor = 5 * time.Minute
+	// stateRetention is how long the state of a server that has stopped announcing itself is
+	// kept.
+	stateRetention = time.Minute
+	// sweepInterval is the shortest interval between two sweeps for expired state.
+	sweepInterval = time.Second
+	// departureRetention is how long the departure of a server is recorded, so that late views
+	// do not bring the server back.
+	departureRetention = 5 * time.Minute
 )
 
-// Scope says which parts of a view count, beside its servers and evacuations, of which each
-// has a version or an age of its own.
+// Scope selects the parts of a view to apply besides its servers and evacuations, which are
+// always applied as each of them has a version or an age of its own.
 type Scope struct {
-	// Loads: the work of the region's other entry hosts.
+	// Loads selects the loads of the region's other entry hosts.
 	Loads bool
-	// Others, unless nil, is that work in the place of the view's loads.
+	// Others, unless nil, replaces the view's loads.
 	Others serverload.Loads
-	// Fleet: the entry hosts, and the loads of other regions.
+	// Fleet selects the entry hosts and the loads of other regions.
 	Fleet bool
-	// SameHosts: the entry hosts are those of the view before, and left out.
+	// SameHosts is set if the view omits the entry hosts because they have not changed since
+	// the view before.
 	SameHosts bool
 }
 
-// Everything is the scope of the view of a control host that is near and up to date.
+// Everything is the scope for the view of a control host that is near and up to date.
 var Everything = Scope{Loads: true, Fleet: true}
 
-// TakeView takes a control host's view.
+// TakeView applies a view received from a control host.
 func (f *Fleet) TakeView(v *pb.FleetView, scope Scope, now time.Time) {
-	f.viewedAt = now
-	f.takeEvacuated(v.Evacuated, v.EvacuationRevision, now)
+	f.lastViewAt = now
+	f.applyEvacuated(v.Evacuated, v.EvacuationRevision, now)
 	for _, m := range v.Servers {
-		f.takeServer(m, now)
+		f.applyServer(m, now)
 	}
-	f.takeHeard(v.HeardServers, v.HeardAges, now)
-	if now.Sub(f.forgotAt) >= forgetEvery {
-		f.forget(now)
+	f.applyHeardAges(v.HeardServers, v.HeardAges, now)
+	if now.Sub(f.lastSweepAt) >= sweepInterval {
+		f.sweep(now)
 	}
 	for _, p := range holders.Decode(v.Prompts) {
 		f.holders.Note(p, now)
 	}
 	switch {
 	case scope.Loads && scope.Others != nil:
-		f.takeLoads(scope.Others, now)
+		f.applyLoads(scope.Others, now)
 	case scope.Loads:
-		f.takeLoads(serverload.Decode(v.Loads), now)
+		f.applyLoads(serverload.Decode(v.Loads), now)
 	}
 	if scope.Fleet && !scope.SameHosts {
-		f.takeHosts(v.Hosts, now)
+		f.applyHosts(v.Hosts, now)
 	}
 	if scope.Fleet {
-		f.takeRegions(v.Regions, now)
+		f.applyRegions(v.Regions, now)
 	}
 }
 
-// takeHeard notes when servers that did not change last announced themselves.
-func (f *Fleet) takeHeard(keys, ages []uint32, now time.Time) {
+// applyHeardAges records the last announcements of servers that have not changed otherwise.
+func (f *Fleet) applyHeardAges(keys, ages []uint32, now time.Time) {
 	for i, key := range keys {
-		if s := f.byKey[key]; s != nil && i < len(ages) {
-			s.confirm(now.Add(-ms(uint64(ages[i]) * registry.AgeUnitMS)))
+		if s := f.serversByKey[key]; s != nil && i < len(ages) {
+			s.recordAnnouncement(now.Add(-ms(uint64(ages[i]) * registry.AgeUnitMS)))
 		}
 	}
 }
 
-// forget drops what is of no use any more.
-func (f *Fleet) forget(now time.Time) {
-	f.forgotAt = now
+// sweep drops expired state.
+func (f *Fleet) sweep(now time.Time) {
+	f.lastSweepAt = now
 	for _, s := range f.servers {
-		if s.underWay() == 0 && now.Sub(s.ConfirmedAt) > forgetAfter {
+		if s.underWay() == 0 && now.Sub(s.ConfirmedAt) > stateRetention {
 			f.drop(s)
 		}
 	}
-	for id, d := range f.gone {
-		if now.Sub(d.at) > goneFor {
-			delete(f.gone, id)
+	for id, d := range f.departures {
+		if now.Sub(d.at) > departureRetention {
+			delete(f.departures, id)
 		}
 	}
-	f.forgetChains(now)
+	f.sweepChains(now)
 	f.holders.Forget(now)
 }
 
-// off reports whether an experiment goes without a mechanism.
-func (f *Fleet) off(m Mechanisms) bool { return f.o.Off.Has(m) }
+// disabled reports whether an experiment disables a mechanism.
+func (f *Fleet) disabled(m Mechanisms) bool { return f.o.Off.Has(m) }
 
-func (f *Fleet) takeLoads(loads serverload.Loads, now time.Time) {
+func (f *Fleet) applyLoads(loads serverload.Loads, now time.Time) {
 	for _, s := range f.servers {
 		l := loads[s.key]
 		s.others = load{int(l.Requests), float64(l.PromptTokens), float64(l.MemoryTokens)}
 		s.othersReading, s.othersDeferred = float64(l.ReadingMS), int(l.Deferred)
 	}
-	f.takeArrivals(loads, now)
+	f.applyArrivals(loads, now)
 }
 
-func (f *Fleet) takeHosts(hosts []*pb.FleetHost, now time.Time) {
+func (f *Fleet) applyHosts(hosts []*pb.FleetHost, now time.Time) {
 	suspects := map[string]time.Time{}
 	for _, list := range f.hosts {
 		for _, h := range list {
@@ -220,8 +226,8 @@
 		}
 	}
 	for name, list := range before {
-		if len(f.hosts[name]) == 0 && now.Sub(f.heardOf(name)) <= rememberRegion {
-			f.hosts[name] = list // control hosts may be cut from those of the region
+		if len(f.hosts[name]) == 0 && now.Sub(f.regionAsOf(name)) <= regionRetention {
+			f.hosts[name] = list // the control hosts may be cut off from those of that region
 		}
 	}
 	sort.Strings(neighbors)
@@ -230,9 +236,9 @@
 	}
 }
 
-func (f *Fleet) takeRegions(loads []*pb.RegionLoad, now time.Time) {
+func (f *Fleet) applyRegions(loads []*pb.RegionLoad, now time.Time) {
 	for k, r := range f.regions {
-		if now.Sub(r.at) > rememberRegion {
+		if now.Sub(r.asOf) > regionRetention {
 			delete(f.regions, k)
 		}
 	}
@@ -240,17 +246,17 @@
 	for _, l := range loads {
 		k := regionKey{l.Region, l.Service}
 		if old := f.regions[k]; seen[k] && old.requests >= float64(l.Requests) {
-			continue // two control hosts of the region: the one that hears more
+			continue // reported by two control hosts of the region: the larger figures are the more complete ones
 		}
 		if seen[k] {
 			delete(f.regions, k)
 		}
 		seen[k] = true
-		f.takeRegion(l, now.Add(-ms(l.AgeMs)))
+		f.applyRegion(l, now.Add(-ms(l.AgeMs)))
 	}
 	for k, r := range f.regions {
-		if !seen[k] && !r.asked && now.Sub(r.at) <= regionSilence {
-			r.at = now.Add(-regionSilence - time.Millisecond) // used again once a host there has told of it
+		if !seen[k] && !r.fromEntryHost && now.Sub(r.asOf) <= maxRegionAge {
+			r.asOf = now.Add(-maxRegionAge - time.Millisecond) // excluded until newer figures arrive
 		}
 	}
 }
@@ -259,11 +265,11 @@
 	return &region{
 		servers: float64(l.Servers), slots: float64(l.Slots), requests: float64(l.Requests),
 		prompt: float64(l.PromptTokens), memory: float64(l.MemoryTokens),
-		arrivals: float64(l.Arrivals) / arrivalsSpan.Seconds(), at: at, key: holders.Key(l.Region),
+		arrivals: float64(l.Arrivals) / arrivalsReportWindow.Seconds(), asOf: at, key: holders.Key(l.Region),
 	}
 }
 
-// PeerOf returns the address of another region's entry host, or "".
+// PeerOf returns the peer address of another region's entry host; "" if the host is not known.
 func (f *Fleet) PeerOf(host string) string {
 	for _, list := range f.hosts {
 		for _, h := range list {
@@ -275,16 +281,16 @@
 	return ""
 }
 
-// Speed is what was learned of a service's servers.
+// Speed holds the estimated speeds of a service's servers.
 type Speed struct {
-	TokensPerMS float64 `json:"tokens_per_ms"` // of prompts read by an engine
-	BeginMS     float64 `json:"begin_ms"`      // time to an answer's first event without reading
-	AnswerMS    float64 `json:"answer_ms"`     // of a plain service
-	HoldMS      float64 `json:"hold_ms"`       // of an engine's slot, by one request
-	Samples     int     `json:"samples"`       // of long prompts, of which the rate is the median
+	TokensPerMS float64 `json:"tokens_per_ms"` // rate at which an engine reads prompts
+	BeginMS     float64 `json:"begin_ms"`      // time to the first event of an answer, without reading the prompt
+	AnswerMS    float64 `json:"answer_ms"`     // time to answer of a plain service with free slots
+	HoldMS      float64 `json:"hold_ms"`       // time for which a request holds a slot of an engine
+	Samples     int     `json:"samples"`       // number of long prompts whose median is the rate
 }
 
-// Speeds returns what was learned, by service.
+// Speeds returns the estimated speeds by service.
 func (f *Fleet) Speeds() map[string]Speed {
 	out := make(map[string]Speed, len(f.speeds))
 	for service, e := range f.speeds {
@@ -293,10 +299,10 @@
 	return out
 }
 
-// Neighbors returns the number of ready entry hosts of the region, this one included.
+// Neighbors returns the number of ready entry hosts of the own region, this one included.
 func (f *Fleet) Neighbors() int { return max(1, len(f.neighbors)) }
 
-// AllHosts returns the number of ready entry hosts of all regions.
+// AllHosts returns the number of ready entry hosts of all regions, this one included.
 func (f *Fleet) AllHosts() int {
 	n := f.Neighbors()
 	for _, l := range f.hosts {
@@ -305,21 +311,22 @@
 	return n
 }
 
-// HasView reports whether a control host was heard yet.
-func (f *Fleet) HasView() bool { return !f.viewedAt.IsZero() }
+// HasView reports whether a view has been received from a control host.
+func (f *Fleet) HasView() bool { return !f.lastViewAt.IsZero() }
 
-// ViewAge returns the age of the last view.
+// ViewAge returns the age of the last view; 0 if there is none.
 func (f *Fleet) ViewAge(now time.Time) time.Duration {
-	if f.viewedAt.IsZero() {
+	if f.lastViewAt.IsZero() {
 		return 0
 	}
-	return now.Sub(f.viewedAt)
+	return now.Sub(f.lastViewAt)
 }
 
-// Loads returns what this host has under way at each server, for the others.
+// Loads returns the load that this host causes at each server, to be reported to the region's
+// other hosts.
 func (f *Fleet) Loads(now time.Time) serverload.Loads {
 	out := serverload.Loads{}
-	f.tellArrivals(out, now)
+	f.addArrivals(out, now)
 	for _, s := range f.servers {
 		if reading := s.reading.now(now); s.own.requests > 0 || s.deferred > 0 || reading >= 1 {
 			out[s.key] = serverload.Load{
--- a/internal/core/dispatch/hold_test.go
+++ b/internal/core/dispatch/hold_test.go
@@ -8,9 +8,10 @@
 	"github.com/sesamefork/sesamefork/internal/core/serverload"
 )
 
-// TestWaitForASlotIsLearned: an engine whose requests keep their slots for 3 s has 16 more than
-// slots. Half of its slots are free again after 1.5 s at the earliest, and a request that comes
-// now is told so; before, a slot counted as kept for a second whatever came.
+// TestWaitForASlotIsLearned checks that the estimated wait for a slot uses the measured time
+// for which requests hold their slots. The engine holds slots for 3 s and has 16 requests more
+// than slots: half of its slots are free again after 1.5 s at the earliest. A fixed estimate of
+// 1 s per slot was too short.
 func TestWaitForASlotIsLearned(t *testing.T) {
 	const slots, over, holdMS = 32, 16, 3000
 	f := newTestFleet(1)
@@ -30,6 +31,6 @@
 	j.Permits = only("west")
 	c := f.Choose(j, now)
 	if want := float64(over) * holdMS / slots; c.EstimateMS < want || c.EstimateMS > want+500 {
-		t.Errorf("first event expected after %.0f ms, want %.0f and a little", c.EstimateMS, want)
+		t.Errorf("first event expected after %.0f ms, want %.0f to 500 ms more", c.EstimateMS, want)
 	}
 }
--- a/internal/core/dispatch/homes.go
+++ b/internal/core/dispatch/homes.go
@@ -9,74 +9,76 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// longPrompt is the size from which a prompt is long, in tokens: half a chunk of
-// the engines, which alone makes a step of 50 ms.
-const longPrompt = 2000
+// longPromptTokens is the length from which a prompt counts as long, in tokens: half a chunk of
+// the engines, which alone makes a step take 50 ms.
+const longPromptTokens = 2000
 
-func (j *Job) isLong() bool { return j.Engine && j.Prompt >= longPrompt }
+func (j *Job) isLong() bool { return j.Engine && j.Prompt >= longPromptTokens }
 
-// homeCovered is the share of a chain's shared parts that its first, second and
-// third home probably keep. All hosts spill over in the same order.
-var homeCovered = []float64{1, 0.6, 0.3}
+// homeCoverage is the fraction of a chain's shared parts that its first, second and third home
+// probably have cached. All hosts overflow from one home to the next in the same order.
+var homeCoverage = []float64{1, 0.6, 0.3}
 
-// homeUse is the share of its time that a home spends on one chain's requests before
-// the chain gets another home. An engine that reads for half of its time answers late,
-// and a home serves other chains too. Each further home reads the shared parts anew, and
-// with one home for every chain a load of few hot chains reads too much at one engine
-// (TestLoadOnARegion).
-const homeUse = 0.35
+// maxHomeUse is the fraction of its time that a home may spend on the requests of one chain
+// before the chain gets another home. An engine that spends half of its time on reading answers
+// late, and a home serves other chains too. Each further home reads the shared parts anew, but
+// if every chain had a single home, a load with few hot chains would overload one engine with
+// reading (TestLoadOnARegion).
+const maxHomeUse = 0.35
 
-// chainMemory is the time constant of a chain's rate: some requests of a hot chain.
-const chainMemory = 8 * time.Second
+// chainTimeConstant is the time constant of a chain's request rate: it covers several requests
+// for a hot chain.
+const chainTimeConstant = 8 * time.Second
 
-// chainRate is the moving count of this host's requests for a chain.
+// chainRate is an exponentially decaying count of this host's requests for a chain.
 type chainRate struct {
 	count float64
 	at    time.Time
 }
 
 func (r chainRate) now(now time.Time) float64 {
-	return r.count * math.Exp(-now.Sub(r.at).Seconds()/chainMemory.Seconds())
+	return r.count * math.Exp(-now.Sub(r.at).Seconds()/chainTimeConstant.Seconds())
 }
 
-// chainOf names the longest shared chain of a prompt; "" when nothing is shared.
-func chainOf(parts []Part) string {
+// sharedChainID returns the ID of the longest shared chain of a prompt: all of its parts except
+// the last one. It is "" if the prompt shares nothing.
+func sharedChainID(parts []Part) string {
 	if len(parts) < 2 {
 		return ""
 	}
 	return parts[len(parts)-2].ID
 }
 
-// countChain records a request for a chain.
-func (f *Fleet) countChain(key string, now time.Time) {
+// recordChainRequest counts a request for a chain.
+func (f *Fleet) recordChainRequest(key string, now time.Time) {
 	if key != "" {
-		f.chains[key] = chainRate{f.chains[key].now(now) + 1, now}
+		f.chainRates[key] = chainRate{f.chainRates[key].now(now) + 1, now}
 	}
 }
 
-// forgetChains drops the chains that were not asked for lately.
-func (f *Fleet) forgetChains(now time.Time) {
-	const forgotten = 0.02 // a request four time constants ago
-	for key, r := range f.chains {
-		if r.now(now) < forgotten {
-			delete(f.chains, key)
+// sweepChains drops the chains that have not been requested recently.
+func (f *Fleet) sweepChains(now time.Time) {
+	const minCount = 0.02 // one request four time constants ago
+	for key, r := range f.chainRates {
+		if r.now(now) < minCount {
+			delete(f.chainRates, key)
 		}
 	}
 }
 
-// homeCount returns how many homes the job's chain needs. The region's other hosts
-// are taken to see as many requests for it as this one.
+// homeCount returns the number of homes that the job's chain needs, assuming that each of the
+// region's other hosts receives as many requests for it as this one.
 func (f *Fleet) homeCount(j *Job, key string, now time.Time) int {
-	perSecond := f.chains[key].now(now) / chainMemory.Seconds() * float64(f.Neighbors())
+	perSecond := f.chainRates[key].now(now) / chainTimeConstant.Seconds() * float64(f.Neighbors())
 	readMS := (j.Prompt - float64(sharedTokens(j.Parts))) / f.speedOf(j.Service).Rate()
-	return 1 + int(perSecond*readMS/1000/homeUse)
+	return 1 + int(perSecond*readMS/1000/maxHomeUse)
 }
 
-// homesOf returns the servers to which all hosts of the region send the job's shared
-// parts, the first one first while it is not busier than the next: those with the
-// highest hashes of the longest shared chain.
+// homesOf returns the IDs of the servers to which all hosts of the region send the job's shared
+// parts, most preferred first; the first one is used while it is not busier than the next. They
+// are chosen by rendezvous hashing of the longest shared chain.
 func (f *Fleet) homesOf(j *Job, now time.Time) []string {
-	key := chainOf(j.Parts)
+	key := sharedChainID(j.Parts)
 	if key == "" {
 		return nil
 	}
@@ -93,43 +95,44 @@
 	}
 	sort.Slice(best, func(a, b int) bool { return best[a].rank > best[b].rank })
 	var homes []string
-	for _, r := range best[:min(len(best), f.homeCount(j, key, now), len(homeCovered))] {
+	for _, r := range best[:min(len(best), f.homeCount(j, key, now), len(homeCoverage))] {
 		homes = append(homes, r.id)
 	}
 	return homes
 }
 
-// Many hosts that see the same figures, a quarter of a second old, all find the same
-// server best. With more hosts than manyHosts each weighs the homes, sampled others and
-// one sampled in its own failure domain only.
+// With many hosts that act on the same load figures, a quarter of a second old, all of them
+// would choose the same server. If a region has more than maxHostsUnsampled entry hosts, each
+// of them evaluates only the homes and holders, sampleSize random servers, and one random
+// server of its own failure domain.
 const (
-	manyHosts = 6
-	sampled   = 1
+	maxHostsUnsampled = 6
+	sampleSize        = 1
 )
 
-// candidates returns the servers to weigh for a job, sorted by ID: all of them when
-// none of the few can be used.
-func (f *Fleet) candidates(j *Job, keep keepers, now time.Time) []*Server {
-	all := f.ofService(j.Service)
-	if !j.Engine && !f.off(Shares) {
-		return all // drawn by what each can take
+// candidates returns the servers to evaluate for a job, sorted by ID. It returns all servers of
+// the service if none of the sampled ones is usable.
+func (f *Fleet) candidates(j *Job, locations chainLocations, now time.Time) []*Server {
+	all := f.serversOf(j.Service)
+	if !j.Engine && !f.disabled(Shares) {
+		return all // chosen by rankServers
 	}
-	if f.Neighbors() <= manyHosts || len(all) <= sampled+len(keep.homes) || f.off(Sampling) {
+	if f.Neighbors() <= maxHostsUnsampled || len(all) <= sampleSize+len(locations.homes) || f.disabled(Sampling) {
 		return all
 	}
 	chosen := map[*Server]bool{}
-	for _, id := range keep.homes {
+	for _, id := range locations.homes {
 		if s := f.servers[id]; s != nil {
 			chosen[s] = true
 		}
 	}
-	for _, h := range keep.holders {
+	for _, h := range locations.holders {
 		chosen[h.server] = true
 	}
-	for range sampled {
+	for range sampleSize {
 		chosen[f.sample(all)] = true
 	}
-	chosen[f.sample(f.ofOwnDomain(all))] = true
+	chosen[f.sample(f.inOwnDomain(all))] = true
 	var out []*Server
 	usable := false
 	for _, s := range all {
@@ -144,7 +147,7 @@
 	return out
 }
 
-// sample returns one of the servers at random; nil when there are none.
+// sample returns a random one of the servers; nil if there are none.
 func (f *Fleet) sample(servers []*Server) *Server {
 	if len(servers) == 0 {
 		return nil
@@ -152,11 +155,12 @@
 	return servers[int(f.o.Random()*float64(len(servers)))%len(servers)]
 }
 
-func (f *Fleet) ofOwnDomain(servers []*Server) []*Server {
+func (f *Fleet) inOwnDomain(servers []*Server) []*Server {
 	return slices.DeleteFunc(slices.Clone(servers), func(s *Server) bool { return s.FailureDomain != f.o.FailureDomain })
 }
 
-// sharedTokens is the size of the chain without the request's own part.
+// sharedTokens returns the size of all parts except the last one, which is specific to the
+// request.
 func sharedTokens(parts []Part) int {
 	sum := 0
 	for i := 0; i < len(parts)-1; i++ {
@@ -165,29 +169,32 @@
 	return sum
 }
 
-// coldSettle is how long a host must have known the same ready hosts of its region before it
-// may send to cold servers: within viewDelay all hosts that hear the same control host know
-// the list, and what an earlier sender sent a second before that has left the window in which
-// the rate is counted. Hosts that have just started, all at once, each know themselves first.
-const coldSettle = viewDelay + time.Second
-
-// coldAllowed reports whether this host may send to a cold server: one host of
-// the region does, and it keeps to the rate. Hosts that hear different control hosts, which
-// can't reach each other, may each hold themselves to be the sender: two of them use twice
-// the rate, which is below the one at which servers fall over.
+// coldSettleTime is the time for which the list of ready entry hosts of the region must not
+// have changed before this host sends to cold servers. Within maxViewDelay all hosts connected
+// to the same control host have received the list, and one second later the requests of an
+// earlier sender are outside the window in which the rate is counted. Without the delay, hosts
+// that all start at the same time would each list only themselves at first, and each would
+// send.
+const coldSettleTime = maxViewDelay + time.Second
+
+// coldAllowed reports whether this host may send a request to a cold server: only one host of
+// the region does, at no more than the job's rate. If hosts are connected to different control
+// hosts that cannot reach each other, two hosts may both take themselves for the sender:
+// together they use twice the rate, which is below the rate at which servers fail.
 func (f *Fleet) coldAllowed(s *Server, j *Job, now time.Time) bool {
 	if j.ColdPerSecond <= 0 {
 		return true
 	}
-	if now.Sub(f.neighborsSince) < coldSettle || f.ownerOf(s.ID) != f.o.Host {
+	if now.Sub(f.neighborsSince) < coldSettleTime || f.coldServerOwner(s.ID) != f.o.Host {
 		return false
 	}
-	s.coldAt = slices.DeleteFunc(s.coldAt, func(at time.Time) bool { return now.Sub(at) >= time.Second })
-	return float64(len(s.coldAt)+1) <= math.Max(1, j.ColdPerSecond)
+	s.coldSends = slices.DeleteFunc(s.coldSends, func(at time.Time) bool { return now.Sub(at) >= time.Second })
+	return float64(len(s.coldSends)+1) <= math.Max(1, j.ColdPerSecond)
 }
 
-// ownerOf returns the entry host of the region that alone sends to a cold server.
-func (f *Fleet) ownerOf(server string) string {
+// coldServerOwner returns the ID of the one entry host of the region that sends to a server
+// while the server is cold.
+func (f *Fleet) coldServerOwner(server string) string {
 	best, bestRank := "", uint64(0)
 	for _, h := range f.neighbors {
 		if rank := xxhash.Sum64String(h + "\x00" + server); rank >= bestRank {
--- a/internal/core/dispatch/isolation.go
+++ b/internal/core/dispatch/isolation.go
@@ -6,23 +6,25 @@
 	"github.com/sesamefork/sesamefork/internal/core/quarantine"
 )
 
-// The load that isolation answers: a request that ends the server that runs it costs all
-// others there their answers too. A request under which servers ended goes where few others
-// are, and others go elsewhere while it runs.
+// A request that crashes the server that runs it also costs all other requests there their
+// answers. Isolation therefore sends a request under which servers have crashed to a server
+// with few other requests, and sends other requests elsewhere while it runs.
 
-// endLoss is what the end of the server would cost: for a suspected request the answers of
-// all others there, for any other its own.
-func (f *Fleet) endLoss(s *Server, j *Job) float64 {
-	if f.off(Isolation) {
+// crashLoss returns the expected loss if the server crashes: the answers of all other requests
+// there if this request crashes it, and this request's own answer if a suspected request there
+// does.
+func (f *Fleet) crashLoss(s *Server, j *Job) float64 {
+	if f.disabled(Isolation) {
 		return 0
 	}
 	others := float64(s.own.requests + s.others.requests + s.deferred + s.othersDeferred)
 	return errorLoss * (quarantine.Suspicion(j.Ends)*others + math.Min(1, s.suspicion))
 }
 
-// endLossAway is the same for another region's mean server.
-func (f *Fleet) endLossAway(r *region, j *Job) float64 {
-	if f.off(Isolation) || r.servers == 0 {
+// regionCrashLoss returns the expected loss at an average server of another region if a
+// suspected request crashes it.
+func (f *Fleet) regionCrashLoss(r *region, j *Job) float64 {
+	if f.disabled(Isolation) || r.servers == 0 {
 		return 0
 	}
 	return errorLoss * quarantine.Suspicion(j.Ends) * r.requests / r.servers
--- a/internal/core/dispatch/load_test.go
+++ b/internal/core/dispatch/load_test.go
@@ -12,41 +12,42 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// playedRegion plays a region: hosts that choose on figures a quarter of a second old,
-// and engines that read prompts one after the other.
-type playedRegion struct {
+// simulatedRegion simulates a region: entry hosts that choose on load figures a quarter of a
+// second old, and engines that read one prompt after another.
+type simulatedRegion struct {
 	rnd     *rand.Rand
 	hosts   []*Fleet
-	backlog map[string]float64 // ms of reading queued at each engine
+	backlog map[string]float64 // reading queued at each engine, in ms
 	cached  map[string]map[string]bool
 	now     time.Time
-	waits   []float64 // ms from arrival to the end of reading
-	long    []float64 // the same, of long prompts
-	paused  int       // short requests that began at an engine with 600 ms of reading ahead
+	waits   []float64 // time from arrival to the end of reading, in ms
+	long    []float64 // the same for long prompts
+	paused  int       // short requests that started behind more than 600 ms of reading
 	short   int
 	reread  int // shared tokens read again
 	read    map[string]bool
 	chains  int
-	// copyPerMS is how fast engines copy KV cache from each other, in tokens per ms.
+	// copyPerMS is the rate at which engines copy KV cache from each other, in tokens per ms; 0
+	// for never.
 	copyPerMS float64
-	// twoDomains puts every other host and engine into another failure domain; crossed
-	// counts the short requests that go to the other one.
+	// twoDomains puts every second host and engine into another failure domain; crossed counts
+	// the short requests that go to an engine of another failure domain.
 	twoDomains bool
 	crossed    int
 }
 
-// inDomain returns the failure domain of the host or engine with a number.
-func (p *playedRegion) inDomain(i int) string {
+// domainOf returns the failure domain of the host or engine with the given index.
+func (p *simulatedRegion) domainOf(i int) string {
 	if p.twoDomains && i%2 == 1 {
 		return "w2"
 	}
 	return "w1"
 }
 
-const playStep = 10 * time.Millisecond
+const simulationStep = 10 * time.Millisecond
 
-func newPlay(seed int64, hosts, engines, chains int) *playedRegion {
-	p := &playedRegion{rnd: rand.New(rand.NewSource(seed)), backlog: map[string]float64{}, cached: map[string]map[string]bool{}, now: start, read: map[string]bool{}, chains: chains}
+func newSimulatedRegion(seed int64, hosts, engines, chains int) *simulatedRegion {
+	p := &simulatedRegion{rnd: rand.New(rand.NewSource(seed)), backlog: map[string]float64{}, cached: map[string]map[string]bool{}, now: start, read: map[string]bool{}, chains: chains}
 	p.addHosts(hosts)
 	for i := range engines {
 		p.backlog[fmt.Sprintf("s%d", i)] = 0
@@ -55,16 +56,16 @@
 	return p
 }
 
-func (p *playedRegion) addHosts(n int) {
+func (p *simulatedRegion) addHosts(n int) {
 	for i := range n {
 		p.hosts = append(p.hosts, New(Options{
-			Host: fmt.Sprintf("h%02d", i), Region: "west", FailureDomain: p.inDomain(i), Random: p.rnd.Float64, PrefillRate: 38 / 1.25,
+			Host: fmt.Sprintf("h%02d", i), Region: "west", FailureDomain: p.domainOf(i), Random: p.rnd.Float64, PrefillRate: 38 / 1.25,
 		}))
 	}
 }
 
-// view gives every host what the others have under way.
-func (p *playedRegion) view() {
+// exchangeLoads gives every host the loads and prompt places of the others.
+func (p *simulatedRegion) exchangeLoads() {
 	loads := make([]serverload.Loads, len(p.hosts))
 	sent := make([][]holders.Place, len(p.hosts))
 	for i, h := range p.hosts {
@@ -73,44 +74,44 @@
 	for i, h := range p.hosts {
 		v := testView(len(p.backlog))
 		for k, m := range v.Servers {
-			m.FailureDomain = p.inDomain(k)
+			m.FailureDomain = p.domainOf(k)
 		}
 		v.Regions, v.Hosts = nil, nil
 		for k := range p.hosts {
 			v.Hosts = append(v.Hosts, &pb.FleetHost{Id: fmt.Sprintf("h%02d", k), Region: "west", FailureDomain: "w1", Ready: true})
 		}
 		sums := serverload.Loads{}
-		var told []holders.Place
+		var places []holders.Place
 		for k := range p.hosts {
 			if k != i {
-				told = append(told, sent[k]...)
+				places = append(places, sent[k]...)
 				sums.Add(loads[k])
 			}
 		}
 		v.Loads = serverload.Encode(sums)
-		v.Prompts = holders.Encode(told)
+		v.Prompts = holders.Encode(places)
 		h.TakeView(v, Everything, p.now)
 	}
 }
 
-// underWay is a request until its prompt is read.
-type underWay struct {
+// activeRequest is a request that is under way.
+type activeRequest struct {
 	host   *Fleet
 	choice Choice
 	first  time.Time
 	end    time.Time
 }
 
-// run plays the load: shorts and longs are requests per second.
-func (p *playedRegion) run(seconds int, shorts, longs float64) {
-	var active []*underWay
-	steps := seconds * int(time.Second/playStep)
+// run simulates the load. shorts and longs are the rates of short and long prompts per second.
+func (p *simulatedRegion) run(seconds int, shorts, longs float64) {
+	var active []*activeRequest
+	steps := seconds * int(time.Second/simulationStep)
 	for i := range steps {
 		if i%25 == 0 {
-			p.view()
+			p.exchangeLoads()
 		}
 		for id := range p.backlog {
-			p.backlog[id] = max(0, p.backlog[id]-float64(playStep.Milliseconds()))
+			p.backlog[id] = max(0, p.backlog[id]-float64(simulationStep.Milliseconds()))
 		}
 		kept := active[:0]
 		for _, u := range active {
@@ -118,7 +119,7 @@
 			case !p.now.Before(u.end):
 				u.host.Ended(&u.choice, Served, u.first.Sub(p.now), p.now)
 			default:
-				if !u.choice.read && !p.now.Before(u.first) {
+				if !u.choice.firstByteSeen && !p.now.Before(u.first) {
 					u.host.FirstByte(&u.choice, 0)
 				}
 				kept = append(kept, u)
@@ -131,13 +132,13 @@
 		for range p.arrivals(longs) {
 			active = append(active, p.arrive(longJob(fmt.Sprintf("chain%d", p.rnd.Intn(p.chains))), true)...)
 		}
-		p.now = p.now.Add(playStep)
+		p.now = p.now.Add(simulationStep)
 	}
 }
 
-// arrivals draws how many requests of a rate come in one step.
-func (p *playedRegion) arrivals(perSecond float64) int {
-	mean := perSecond * playStep.Seconds()
+// arrivals draws the number of requests in one step for a rate per second.
+func (p *simulatedRegion) arrivals(perSecond float64) int {
+	mean := perSecond * simulationStep.Seconds()
 	n := int(mean)
 	if p.rnd.Float64() < mean-float64(n) {
 		n++
@@ -145,7 +146,7 @@
 	return n
 }
 
-func (p *playedRegion) arrive(j *Job, long bool) []*underWay {
+func (p *simulatedRegion) arrive(j *Job, long bool) []*activeRequest {
 	h := p.hosts[p.rnd.Intn(len(p.hosts))]
 	j.Permits, j.CopyPerMS = only("west"), p.copyPerMS
 	c := h.Choose(j, p.now)
@@ -183,7 +184,7 @@
 		if c.Server.FailureDomain != h.o.FailureDomain {
 			p.crossed++
 		}
-		if p.backlog[id] > pauseSure {
+		if p.backlog[id] > pauseCertainMS {
 			p.paused++
 		}
 	}
@@ -194,23 +195,22 @@
 		p.long = append(p.long, wait)
 	}
 	first := p.now.Add(time.Duration(wait * float64(time.Millisecond)))
-	return []*underWay{{host: h, choice: c, first: first, end: first.Add(1500 * time.Millisecond)}}
+	return []*activeRequest{{host: h, choice: c, first: first, end: first.Add(1500 * time.Millisecond)}}
 }
 
-// quantile returns the share q of the sorted values.
+// quantile returns the q-quantile of the values.
 func quantile(values []float64, q float64) float64 {
 	s := append([]float64(nil), values...)
 	sort.Float64s(s)
 	return s[int(q*float64(len(s)-1))]
 }
 
-// loadSeeds is how many times each load is played; the bounds hold for the mean.
-// The p99 of one play of 20 s differs by a third from seed to seed.
-const loadSeeds = 3
+// seedsPerLoad is the number of runs of each load; the bounds apply to the mean. The p99 of a
+// single run of 20 s differs by a third from seed to seed.
+const seedsPerLoad = 3
 
-// TestLoadOnARegion plays loads of a region and checks what callers get: the time
-// until a prompt is read, short answers that a pause makes late, shared parts
-// read again.
+// TestLoadOnARegion simulates loads of a region and checks the time until a prompt is read, the
+// short answers that a pause makes late, and the shared parts that are read again.
 func TestLoadOnARegion(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -218,9 +218,9 @@
 		chains         int
 		copyPerMS      float64
 		seconds        int
-		shorts, longs  float64 // a second
+		shorts, longs  float64 // per second
 		p99, longP95   float64 // ms, at most
-		paused         float64 // share of the short ones, at most
+		paused         float64 // fraction of the short requests, at most
 		rereadPerLong  float64 // tokens, at most
 	}{
 		{"few engines, quiet", 3, 4, 20, 0, 20, 40, 6, 420, 400, 0.005, 1100},
@@ -232,14 +232,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var p99, longP95, paused, reread float64
-			for seed := range int64(loadSeeds) {
-				p := newPlay(seed, c.hosts, c.engines, c.chains)
+			for seed := range int64(seedsPerLoad) {
+				p := newSimulatedRegion(seed, c.hosts, c.engines, c.chains)
 				p.copyPerMS = c.copyPerMS
 				p.run(c.seconds, c.shorts, c.longs)
-				p99 += quantile(p.waits, 0.99) / loadSeeds
-				longP95 += quantile(p.long, 0.95) / loadSeeds
-				paused += float64(p.paused) / float64(p.short) / loadSeeds
-				reread += float64(p.reread) / float64(len(p.long)) / loadSeeds
+				p99 += quantile(p.waits, 0.99) / seedsPerLoad
+				longP95 += quantile(p.long, 0.95) / seedsPerLoad
+				paused += float64(p.paused) / float64(p.short) / seedsPerLoad
+				reread += float64(p.reread) / float64(len(p.long)) / seedsPerLoad
 			}
 			t.Logf("p99 %.0f ms, long p95 %.0f ms, paused %.4f, read again %.0f tokens a long prompt", p99, longP95, paused, reread)
 			if p99 > c.p99 {
@@ -258,20 +258,20 @@
 	}
 }
 
-// TestShortRequestsStayInTheirFailureDomain plays a region of two failure domains: most
-// short requests stay in theirs, where half of them did, and nobody waits longer than
-// with one failure domain.
+// TestShortRequestsStayInTheirFailureDomain simulates a region of two failure domains. Most
+// short requests must stay in their own, while half of them crossed without a preference, and
+// callers must not wait longer than with one failure domain.
 func TestShortRequestsStayInTheirFailureDomain(t *testing.T) {
 	const hosts, engines, chains = 24, 40, 300
 	var p99, longP95, crossed float64
-	for seed := range int64(loadSeeds) {
-		p := newPlay(seed, 0, engines, chains)
+	for seed := range int64(seedsPerLoad) {
+		p := newSimulatedRegion(seed, 0, engines, chains)
 		p.twoDomains, p.copyPerMS = true, 500
 		p.addHosts(hosts)
 		p.run(20, 400, 90)
-		p99 += quantile(p.waits, 0.99) / loadSeeds
-		longP95 += quantile(p.long, 0.95) / loadSeeds
-		crossed += float64(p.crossed) / float64(p.short) / loadSeeds
+		p99 += quantile(p.waits, 0.99) / seedsPerLoad
+		longP95 += quantile(p.long, 0.95) / seedsPerLoad
+		crossed += float64(p.crossed) / float64(p.short) / seedsPerLoad
 	}
 	t.Logf("p99 %.0f ms, long p95 %.0f ms, %.2f of the short requests crossed", p99, longP95, crossed)
 	if crossed > 0.25 {
@@ -282,9 +282,9 @@
 	}
 }
 
-// TestBusyDomainIsLeft: a busy engine of the own failure domain loses against an idle one
-// of another.
-func TestBusyDomainIsLeft(t *testing.T) {
+// TestBusyOwnDomainIsAvoided checks that an idle engine of another failure domain is preferred
+// to a busy one of the own.
+func TestBusyOwnDomainIsAvoided(t *testing.T) {
 	f := newTestFleet(2)
 	v := testView(2)
 	v.Regions, v.Servers[1].FailureDomain = nil, "w2"
--- a/internal/core/dispatch/lost_test.go
+++ b/internal/core/dispatch/lost_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// TestLost lets a server with one request send nothing for a time, and its last
-// announcement have an age at the last view: only both together make it lost. How old an
-// announcement may be depends on how often servers announce themselves.
+// TestLost checks that a server with a request under way is lost only if it has sent nothing
+// for some time and its announcements have also expired at the last view. The age at which
+// announcements expire depends on the interval of the servers' announcements.
 func TestLost(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		every         time.Duration // interval of the announcements; 0 for the default
-		silent, heard time.Duration
-		lost, unused  bool
+		name                       string
+		announceEvery              time.Duration // interval of the announcements; 0 for the default
+		silentFor, announcementAge time.Duration
+		lost, unused               bool
 	}{
 		{"both", 0, 5 * time.Second, 4600 * time.Millisecond, true, true},
 		{"announces itself", 0, 3 * time.Second, time.Second, false, false},
@@ -22,17 +22,17 @@
 		{"announcements are rarer, three missed", 3 * time.Second, 11 * time.Second, 10 * time.Second, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := New(Options{Host: "h1", Region: "west", FailureDomain: "w1", Random: func() float64 { return 0 }, PrefillRate: 38 / 1.25, AnnounceEvery: c.every})
+			f := New(Options{Host: "h1", Region: "west", FailureDomain: "w1", Random: func() float64 { return 0 }, PrefillRate: 38 / 1.25, AnnounceEvery: c.announceEvery})
 			v := testView(2)
 			v.Hosts, v.Regions = nil, nil
 			f.TakeView(v, Everything, start)
 			choice := f.Choose(shortJob(), start)
 			f.Started(&choice, start)
 			now := start.Add(20 * time.Second)
-			f.Progress(&choice, now.Add(-c.silent))
+			f.Progress(&choice, now.Add(-c.silentFor))
 			for _, s := range v.Servers {
 				if s.AgeMs = 100; s.Id == choice.Server.ID {
-					s.AgeMs = uint64(c.heard.Milliseconds())
+					s.AgeMs = uint64(c.announcementAge.Milliseconds())
 				}
 			}
 			f.TakeView(v, Everything, now)
--- a/internal/core/dispatch/mechanisms.go
+++ b/internal/core/dispatch/mechanisms.go
@@ -7,48 +7,52 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Mechanisms is a set of parts of the policy. An experiment switches them off one by one to
-// measure what each is worth; in service the set that is off is empty.
+// Mechanisms is a set of mechanisms of the dispatch policy. An experiment disables them one at
+// a time to measure the effect of each; in production no mechanism is disabled.
 type Mechanisms uint32
 
-// The mechanisms that can be switched off.
+// Mechanisms that can be disabled.
 const (
-	// Deferral lets requests that are late in any case wait behind the others.
+	// Deferral queues requests that are late anyway behind the others.
 	Deferral Mechanisms = 1 << iota
-	// LearnedSpeeds takes the servers' speeds from their answers, not from start values.
+	// LearnedSpeeds estimates the servers' speeds from their answers instead of using defaults.
 	LearnedSpeeds
-	// StartWaiting lets requests wait for a host that has just started.
+	// StartWaiting holds requests until a host that has just started is ready, instead of
+	// refusing them.
 	StartWaiting
-	// PauseCost counts the pauses that a prompt brings to the answers of others.
+	// PauseCost accounts for the pauses that a prompt causes in other answers.
 	PauseCost
-	// BusyCost counts how much of its time an engine spends on reading prompts.
+	// BusyCost accounts for the fraction of its time that an engine spends on reading prompts.
 	BusyCost
-	// Homes sends a chain of shared parts to the same engines from all hosts.
+	// Homes makes all hosts send a chain of shared parts to the same engines.
 	Homes
-	// Holders knows the engines to which a chain was sent lately.
+	// Holders records the engines to which a chain was sent recently, and prefers them.
 	Holders
-	// Copies lets engines copy shared parts from one another.
+	// Copies lets engines copy the KV cache of shared parts from each other.
 	Copies
-	// OwnDomainFirst keeps requests in their failure domain.
+	// OwnDomainFirst prefers servers of the entry host's own failure domain.
 	OwnDomainFirst
-	// Silence passes over servers that send nothing on any request.
+	// Silence avoids stalled servers: those that send nothing on any request.
 	Silence
-	// Health weighs a server's failures and late answers.
+	// Health accounts for a server's failures and late answers.
 	Health
-	// OtherRegions sends requests to other regions.
+	// OtherRegions allows sending requests to other regions.
 	OtherRegions
-	// Sampling lets each of many hosts weigh only some of the servers.
+	// Sampling makes each host evaluate only some of the servers if the region has many hosts.
 	Sampling
-	// Shares divides the requests for a plain service among its servers and regions by what
-	// each can take.
+	// Shares distributes the requests for a plain service over its servers and regions by their
+	// free capacity.
 	Shares
-	// ConfigFromSender takes a newer configuration from the host that sends a request.
+	// ConfigFromSender fetches a newer configuration from the entry host that forwards a
+	// request.
 	ConfigFromSender
-	// Isolation keeps requests under which servers ended away from others.
+	// Isolation keeps requests under which servers have crashed away from other requests.
 	Isolation
-	// LoadsObserved compares what servers tell of their requests with what is known.
+	// LoadsObserved corrects the recorded loads by the request counts that servers report with
+	// their answers.
 	LoadsObserved
-	// RegionsAsked asks entry hosts of other regions for the loads that control hosts don't tell.
+	// RegionsAsked queries entry hosts of other regions for loads that the control hosts do not
+	// report.
 	RegionsAsked
 )
 
@@ -59,7 +63,8 @@
 	"config-from-sender": ConfigFromSender, "isolation": Isolation, "loads-observed": LoadsObserved, "regions-asked": RegionsAsked,
 }
 
-// ParseMechanisms returns the set of the mechanisms with the given names.
+// ParseMechanisms returns the set of the mechanisms with the given names. It fails on an
+// unknown name.
 func ParseMechanisms(names []string) (Mechanisms, *failure.Error) {
 	var set Mechanisms
 	for _, name := range names {
@@ -82,5 +87,5 @@
 	return names
 }
 
-// Has reports whether the set holds a mechanism.
+// Has reports whether the set contains a mechanism.
 func (m Mechanisms) Has(one Mechanisms) bool { return m&one != 0 }
--- a/internal/core/dispatch/mechanisms_test.go
+++ b/internal/core/dispatch/mechanisms_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// TestMechanismsOff: each mechanism that is off no longer moves the choice that it moves.
+// TestMechanismsOff checks that each mechanism changes a choice when enabled and no longer does
+// when disabled.
 func TestMechanismsOff(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -38,7 +39,7 @@
 		}, func(c Choice) bool { return c.Host != nil }},
 		{"health", Health, func(f *Fleet) {
 			f.TakeView(testView(2), Everything, start)
-			f.servers["s0"].health.errors = decaying{1, start}
+			f.servers["s0"].health.errors = decayingMean{1, start}
 		}, func(c Choice) bool { return c.Server != nil && c.Server.ID == "s1" }},
 		{"silence", Silence, func(f *Fleet) {
 			f.TakeView(testView(2), Everything, start)
@@ -58,14 +59,14 @@
 				f.o.Off, f.o.Random = off, func() float64 { return 0 }
 				c.set(f)
 				j := shortJob()
-				j.Parts = j.Parts[2:] // nothing shared, so that no engine is a home
+				j.Parts = j.Parts[2:] // no shared parts, so that no engine is a home
 				return f.Choose(j, start)
 			}
 			if on := choose(0); !c.want(on) {
-				t.Errorf("with it: %v", on.Considered)
+				t.Errorf("enabled: %v", on.Considered)
 			}
 			if off := choose(c.off); c.want(off) {
-				t.Errorf("without it: %v", off.Considered)
+				t.Errorf("disabled: %v", off.Considered)
 			}
 		})
 	}
--- a/internal/core/dispatch/observed.go
+++ b/internal/core/dispatch/observed.go
@@ -5,64 +5,70 @@
 	"time"
 )
 
-// Servers tell with their answers how many requests they have. What control hosts tell of the
-// other entry hosts' requests is complete only while control hosts reach each other: during a
-// cut each tells of its own failure domain's hosts only, and all hosts together send servers
-// several times what they take them to have. So what servers told is compared with what was
-// known of them at that moment, and what others have under way is taken to be as many times
-// more everywhere (TestOverloadWhileControlHostsAreCut).
+// Servers report with their answers how many requests they have. The loads of other entry hosts
+// that control hosts report are complete only while the control hosts reach each other: during
+// a network cut each of them reports the hosts of its own failure domain only, and all hosts
+// together send servers several times the load that each host has recorded. So the request
+// counts that servers report are compared with the recorded ones at that moment, and the load
+// of other hosts is assumed to be higher by the same factor at all servers of the service
+// (TestOverloadWhileControlHostsAreCut).
 
-// Figures of the comparison.
+// Parameters of the comparison.
 const (
-	// observedMemory is how fast a comparison fades: about as many answers as there are
-	// servers, and less than a cut lasts.
-	observedMemory = time.Second
-	// observedPrior is how many requests count as observed just as they were known, so that
-	// few answers change nothing.
-	observedPrior = 20.0
-	// maxHidden bounds how many times more requests there are than is known.
-	maxHidden = 8.0
+	// comparisonTimeConstant is the time constant with which a comparison decays: within it
+	// about as many answers arrive as there are servers, and a cut lasts longer.
+	comparisonTimeConstant = time.Second
+	// comparisonPrior is a number of requests that is added to both sides of the comparison, so
+	// that a few answers do not change the result.
+	comparisonPrior = 20.0
+	// maxUnreportedFactor bounds the factor between actual and recorded requests.
+	maxUnreportedFactor = 8.0
 )
 
-// observed compares what servers told with what was known.
-type observed struct {
-	seen, known float64
-	at          time.Time
+// loadComparison compares the requests of other hosts that servers report with the recorded
+// ones, both as exponentially decaying sums.
+type loadComparison struct {
+	reported, recorded float64
+	at                 time.Time
 }
 
-func (o *observed) add(seen, known float64, now time.Time) {
-	fade := math.Exp(-max(0, now.Sub(o.at).Seconds()) / observedMemory.Seconds())
-	o.seen, o.known, o.at = o.seen*fade+seen, o.known*fade+known, now
+func (o *loadComparison) add(reported, recorded float64, now time.Time) {
+	fade := math.Exp(-max(0, now.Sub(o.at).Seconds()) / comparisonTimeConstant.Seconds())
+	o.reported, o.recorded, o.at = o.reported*fade+reported, o.recorded*fade+recorded, now
 }
 
-// hidden returns how many times more requests others have than is known; at least 1.
-func (o *observed) hidden(now time.Time) float64 {
+// unreportedFactor returns the factor by which other hosts have more requests under way than is
+// recorded; at least 1.
+func (o *loadComparison) unreportedFactor(now time.Time) float64 {
 	if o == nil {
 		return 1
 	}
-	fade := math.Exp(-max(0, now.Sub(o.at).Seconds()) / observedMemory.Seconds())
-	return min(maxHidden, max(1, (o.seen*fade+observedPrior)/(o.known*fade+observedPrior)))
+	fade := math.Exp(-max(0, now.Sub(o.at).Seconds()) / comparisonTimeConstant.Seconds())
+	return min(maxUnreportedFactor, max(1, (o.reported*fade+comparisonPrior)/(o.recorded*fade+comparisonPrior)))
 }
 
-// Observed takes how many requests the server of an attempt told that it has, running and
-// waiting, with the head of its answer.
+// Observed records the number of requests, running and waiting, that the server of an attempt
+// reported with the head of its answer.
 func (f *Fleet) Observed(c *Choice, requests int, now time.Time) {
 	s := c.Server
-	if s == nil || f.off(LoadsObserved) {
+	if s == nil || f.disabled(LoadsObserved) {
 		return
 	}
-	o := f.observed[s.Service]
+	o := f.comparisons[s.Service]
 	if o == nil {
-		o = &observed{}
-		f.observed[s.Service] = o
+		o = &loadComparison{}
+		f.comparisons[s.Service] = o
 	}
 	o.add(math.Max(0, float64(requests-s.underWay())), float64(s.others.requests+s.othersDeferred), now)
 }
 
-// requestsAt returns the requests that a server of the own region is taken to have.
+// requestsAt returns the estimated number of requests at a server of the own region.
 func (f *Fleet) requestsAt(s *Server, now time.Time) float64 {
-	return float64(s.own.requests) + f.hidden(s.Service, now)*float64(s.others.requests)
+	return float64(s.own.requests) + f.unreportedFactor(s.Service, now)*float64(s.others.requests)
 }
 
-// hidden returns how many times more work others have at the own region's servers than is known.
-func (f *Fleet) hidden(service string, now time.Time) float64 { return f.observed[service].hidden(now) }
+// unreportedFactor returns the factor by which other hosts have more work at the own region's
+// servers of a service than is recorded.
+func (f *Fleet) unreportedFactor(service string, now time.Time) float64 {
+	return f.comparisons[service].unreportedFactor(now)
+}
--- a/internal/core/dispatch/regions.go
+++ b/internal/core/dispatch/regions.go
@@ -7,20 +7,23 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Control hosts tell of other regions' loads. While they can't reach each other, entry hosts
-// can: one asks an entry host there, and an answer shows that the way is open. Without it a
-// region in overload kept its requests while the servers of the next one idled
+// Control hosts report the loads of other regions. While the control hosts cannot reach each
+// other, the entry hosts may still do: one queries an entry host of the other region, whose
+// answer also shows that the network path there works. Without this, an overloaded region kept
+// its requests while the servers of the next region were idle
 // (TestOverloadWhileControlHostsAreCut).
 
 const (
-	// askRegionAfter is the age of a region's figures from which an entry host there is asked.
-	askRegionAfter = 900 * time.Millisecond
-	// rememberRegion is how long a region is remembered of which control hosts tell nothing.
-	rememberRegion = 20 * time.Second
+	// maxAgeBeforeQuery is the age of a region's figures above which an entry host there is
+	// queried.
+	maxAgeBeforeQuery = 900 * time.Millisecond
+	// regionRetention is how long the state of a region that control hosts no longer report is
+	// kept.
+	regionRetention = 20 * time.Second
 )
 
-// RegionLoads returns what this host knows of the loads of its own region, for hosts of
-// others, sorted by service.
+// RegionLoads returns the estimated loads of the own region, for entry hosts of other regions,
+// sorted by service.
 func (f *Fleet) RegionLoads(now time.Time) []*pb.RegionLoad {
 	sums := map[string]*pb.RegionLoad{}
 	for _, s := range f.servers {
@@ -29,15 +32,15 @@
 		}
 		l := sums[s.Service]
 		if l == nil {
-			l = &pb.RegionLoad{Region: f.o.Region, Service: s.Service, Arrivals: uint32(f.arrivals[s.Service].perSecond(now) * arrivalsSpan.Seconds())}
+			l = &pb.RegionLoad{Region: f.o.Region, Service: s.Service, Arrivals: uint32(f.arrivals[s.Service].perSecond(now) * arrivalsReportWindow.Seconds())}
 			sums[s.Service] = l
 		}
-		hidden := f.hidden(s.Service, now)
+		factor := f.unreportedFactor(s.Service, now)
 		l.Servers++
 		l.Slots += uint32(s.Slots)
 		l.Requests += uint32(f.requestsAt(s, now))
-		l.PromptTokens += uint32(max(0, s.own.prompt+hidden*s.others.prompt))
-		l.MemoryTokens += uint32(max(0, s.own.memory+hidden*s.others.memory))
+		l.PromptTokens += uint32(max(0, s.own.prompt+factor*s.others.prompt))
+		l.MemoryTokens += uint32(max(0, s.own.memory+factor*s.others.memory))
 	}
 	out := make([]*pb.RegionLoad, 0, len(sums))
 	for _, l := range sums {
@@ -52,14 +55,15 @@
 	return out
 }
 
-// RegionsToAsk returns an entry host of each region whose figures are old.
+// RegionsToAsk returns an entry host of each region whose figures are older than
+// maxAgeBeforeQuery.
 func (f *Fleet) RegionsToAsk(now time.Time) []*Host {
-	if f.off(RegionsAsked) {
+	if f.disabled(RegionsAsked) {
 		return nil
 	}
 	var out []*Host
 	for name := range f.hosts {
-		if now.Sub(f.heardOf(name)) <= askRegionAfter {
+		if now.Sub(f.regionAsOf(name)) <= maxAgeBeforeQuery {
 			continue
 		}
 		if h := f.pickHost(name, &Job{}, now); h != nil {
@@ -69,44 +73,44 @@
 	return out
 }
 
-// heardOf returns as of when a region's figures are.
-func (f *Fleet) heardOf(name string) time.Time {
+// regionAsOf returns the time of a region's latest figures; the zero time if there are none.
+func (f *Fleet) regionAsOf(name string) time.Time {
 	var at time.Time
 	for key, r := range f.regions {
-		if key.region == name && r.at.After(at) {
-			at = r.at
+		if key.region == name && r.asOf.After(at) {
+			at = r.asOf
 		}
 	}
 	return at
 }
 
-// TakeRegion takes what an entry host of another region told of it, as of a moment; nil after
-// one did not answer.
+// TakeRegion applies the loads that an entry host of another region reported of that region, as
+// of a time; nil loads mean that the host did not answer.
 func (f *Fleet) TakeRegion(h *Host, loads []*pb.RegionLoad, at, now time.Time) {
 	if loads == nil {
-		h.suspectUntil = now.Add(suspectFor)
+		h.suspectUntil = now.Add(suspectTimeout)
 		return
 	}
 	for _, l := range loads {
 		if l.Region == h.Region {
-			f.takeRegion(l, at)
-			f.regions[regionKey{l.Region, l.Service}].asked = true
+			f.applyRegion(l, at)
+			f.regions[regionKey{l.Region, l.Service}].fromEntryHost = true
 		}
 	}
 }
 
-// takeRegion takes a region's figures as of a moment, unless newer ones are there.
-func (f *Fleet) takeRegion(l *pb.RegionLoad, at time.Time) {
+// applyRegion stores a region's figures as of a time, unless newer ones are stored.
+func (f *Fleet) applyRegion(l *pb.RegionLoad, at time.Time) {
 	k := regionKey{l.Region, l.Service}
 	old := f.regions[k]
-	if old != nil && old.at.After(at) {
+	if old != nil && old.asOf.After(at) {
 		return
 	}
 	next := newRegion(l, at)
 	if old != nil {
-		// What this host sent is not yet in the other's figure for about one
-		// view; the older half of it is.
-		next.sent = load{old.sent.requests / 2, old.sent.prompt / 2, old.sent.memory / 2}
+		// This host's forwards appear in the region's figures about one view later, so the
+		// older half of them is assumed to be included.
+		next.forwarded = load{old.forwarded.requests / 2, old.forwarded.prompt / 2, old.forwarded.memory / 2}
 	}
 	f.regions[k] = next
 }
--- a/internal/core/dispatch/restored_test.go
+++ b/internal/core/dispatch/restored_test.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// TestRestoredDomainIsColdUntilHeard tells this story. A failure domain was evacuated; its
-// engines lost their caches meanwhile and said so. Two of them could not be heard by the
-// control hosts, though entry hosts reached them. When the evacuation was withdrawn, three
-// entry hosts sent one of them 13 requests in 80 ms, as to a warm one, and it fell over: its
-// last word, 2.6 s old, counted for 4.5 s. Servers of a failure domain that comes back may
-// be cold, so an announcement of before says nothing of that.
+// TestRestoredDomainIsColdUntilHeard guards against full load on engines that became cold while
+// their failure domain was evacuated. In the failure, the engines had lost their caches in the
+// meantime and announced that. The announcements of two of them did not reach the control
+// hosts, though entry hosts could reach these engines. When the evacuation was withdrawn, three
+// entry hosts sent one of them 13 requests in 80 ms as to a warm server, and it failed: its
+// last announcement, 2.6 s old, was valid for 4.5 s. Servers of a restored failure domain may
+// be cold, so an announcement from before the restoration does not show that they are warm.
 //
-// Evidence: no announcement of the engine arrived in the 2.6 s before; its neighbors'
-// arrived and said cold; the entry hosts did not weigh it as cold.
+// Evidence: no announcement of the engine arrived in the 2.6 s before; those of its neighbors
+// arrived and reported cold caches; the entry hosts did not treat the engine as cold.
 func TestRestoredDomainIsColdUntilHeard(t *testing.T) {
-	const rate = 2 // requests in a second that the owner of a cold server sends, of 2.6 that it bears
+	const rate = 2 // requests per second that the one host sends to a cold server, which tolerates 2.6
 	cases := []struct {
 		name string
-		// heard is when an announcement came after the domain was taken back; 0 for never.
-		heard  time.Duration
-		coldMS uint64
-		now    time.Duration
-		want   int
+		// announcedAfter is the time from the restoration to the next announcement; 0 for none.
+		announcedAfter time.Duration
+		coldMS         uint64
+		now            time.Duration
+		want           int
 	}{
-		{"not heard since", 0, 0, 100 * time.Millisecond, rate},
-		{"not heard for an interval", 0, 0, 1200 * time.Millisecond, rate},
-		{"heard, warm", 500 * time.Millisecond, 0, 600 * time.Millisecond, 10},
-		{"heard, cold", 500 * time.Millisecond, 3000, 600 * time.Millisecond, rate},
-		{"heard, cold no more", 500 * time.Millisecond, 300, time.Second, 10},
+		{"no announcement since", 0, 0, 100 * time.Millisecond, rate},
+		{"no announcement for an interval", 0, 0, 1200 * time.Millisecond, rate},
+		{"announced, warm", 500 * time.Millisecond, 0, 600 * time.Millisecond, 10},
+		{"announced, cold", 500 * time.Millisecond, 3000, 600 * time.Millisecond, rate},
+		{"announced, no longer cold", 500 * time.Millisecond, 300, time.Second, 10},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -43,8 +44,8 @@
 			last := restored.Add(-2 * time.Second)
 			view([]string{"w1"}, 1, last, 0, restored.Add(-time.Second))
 			view(nil, 2, last, 0, restored)
-			if c.heard > 0 {
-				at := restored.Add(c.heard)
+			if c.announcedAfter > 0 {
+				at := restored.Add(c.announcedAfter)
 				view(nil, 2, at, c.coldMS, at)
 			}
 			if got := sendAll(f, 10, restored.Add(c.now)); got != c.want {
@@ -54,7 +55,7 @@
 	}
 }
 
-// sendAll sends up to n requests at a moment and returns how many had a place.
+// sendAll sends up to n requests at one time and returns how many were accepted.
 func sendAll(f *Fleet, n int, now time.Time) (sent int) {
 	for range n {
 		c := f.Choose(shortJob(), now)
--- a/internal/core/dispatch/servers.go
+++ b/internal/core/dispatch/servers.go
@@ -10,75 +10,78 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Server is one start of a backend server of the own region.
+// Server is one incarnation of a backend server of the own region: one process under its ID.
 type Server struct {
 	ID, Service, Address, FailureDomain string
-	// Start is when the server's process began, in Unix ms by its own clock; 0 when it was
-	// not told.
+	// Start is the time at which the server's process started, in Unix ms by the server's
+	// clock; 0 if it was not reported.
 	Start   int64
 	Slots   int
 	Leaving bool
-	// Release is the version of the server's software; "" when it was not told.
+	// Release is the version of the server's software; "" if it was not reported.
 	Release string
-	// replaced is set when another process runs under the ID: requests under way are lost.
+	// replaced is set if another process runs under the ID: requests under way are lost.
 	replaced    bool
 	starts      incarnation.History
-	ConfirmedAt time.Time // when it last announced itself
+	ConfirmedAt time.Time // time of the server's last announcement
 	FirstSeen   time.Time
 	ColdUntil   time.Time
-	// restoredAt is when the evacuation of its failure domain was last withdrawn.
+	// restoredAt is the time at which the evacuation of the server's failure domain was last
+	// withdrawn.
 	restoredAt time.Time
 
-	own    load // this host's requests under way
-	others load // of the region's other entry hosts, as last told
-	// othersReading is the reading that they caused, in ms per second.
+	own    load // requests of this host under way
+	others load // those of the region's other entry hosts, as last reported
+	// othersReading is the reading caused by the region's other entry hosts, in ms per second.
 	othersReading float64
-	// deferred and othersDeferred are the requests that wait behind all others, of this
-	// host and of the region's other ones.
+	// deferred and othersDeferred are the deferred requests, which wait behind all others, of
+	// this host and of the region's other ones.
 	deferred, othersDeferred int
 	health                   health
-	reading                  rate // of prompts sent by this host, in ms of reading per second
+	reading                  rate // reading of prompts sent by this host, in ms per second
 	cache                    *partCache
-	key                      uint32      // of the start, in messages between hosts
-	coldAt                   []time.Time // own requests of the last second, while cold
-	// progressAt is when this host last got a byte from the server, or began to
-	// wait for one.
+	key                      uint32      // identifies the incarnation in messages between hosts
+	coldSends                []time.Time // times of this host's requests in the last second, while the server is cold
+	// progressAt is the time at which this host last received a byte from the server, or
+	// started to wait for one.
 	progressAt time.Time
-	// weighed is the requests that the server was last taken to have.
-	weighed float64
-	// suspicion is how many of this host's requests at the server are likely to end it.
+	// estimatedRequests is the number of requests at the server, as estimated for the last
+	// choice.
+	estimatedRequests float64
+	// suspicion is the expected number of this host's requests at the server that will crash
+	// it.
 	suspicion float64
 }
 
-// Replaced reports whether the server's process has ended for certain: another one runs under
-// its ID.
+// Replaced reports whether the server's process has certainly exited, because another one runs
+// under its ID.
 func (s *Server) Replaced() bool { return s.replaced }
 
-// stalled reports whether the server sends nothing though requests are under way:
-// it may be dark, or the way to it cut, with connections that just stay silent.
-// Deferred requests wait long at a server that is well.
+// stalled reports whether the server has sent nothing for stalledAfter though requests are
+// under way. It may be down, or the network path to it cut without its connections being
+// closed. Deferred requests are not counted, as they wait long at a healthy server.
 func (s *Server) stalled(now time.Time) bool { return s.own.requests > 0 && s.silent(now) }
 
-// silent reports whether the server sent this host nothing for long.
+// silent reports whether this host has received nothing from the server for stalledAfter.
 func (s *Server) silent(now time.Time) bool { return now.Sub(s.progressAt) > stalledAfter }
 
-// underWay is the number of this host's requests at the server.
+// underWay returns the number of this host's requests at the server, deferred ones included.
 func (s *Server) underWay() int { return s.own.requests + s.deferred }
 
-// load is work under way at a server.
+// load is the requests under way at a server.
 type load struct {
 	requests int
-	prompt   float64 // tokens not yet prefilled
-	memory   float64 // tokens of KV cache
+	prompt   float64 // prompt tokens not yet read
+	memory   float64 // tokens of KV cache in use
 }
 
-// departure is a start of a server that is never used again.
+// departure records an incarnation of a server that is never used again.
 type departure struct {
 	at     time.Time
 	starts incarnation.History
 }
 
-func (f *Fleet) takeServer(m *pb.FleetServer, now time.Time) {
+func (f *Fleet) applyServer(m *pb.FleetServer, now time.Time) {
 	if m.Gone {
 		f.MarkGone(m.Id, m.Start, now)
 		return
@@ -90,14 +93,15 @@
 	heard := now.Add(-ms(m.AgeMs))
 	s.Service, s.Address, s.FailureDomain = m.Service, m.Address, m.FailureDomain
 	s.Slots, s.Release = int(m.Slots), m.Release
-	s.Leaving = s.Leaving || m.Leaving // never taken back within one start
-	if s.confirm(heard) && m.ColdMs > 0 {
+	s.Leaving = s.Leaving || m.Leaving // never reset within one incarnation
+	if s.recordAnnouncement(heard) && m.ColdMs > 0 {
 		s.SetCold(heard.Add(ms(m.ColdMs)))
 	}
 }
 
-// confirm notes an announcement. It reports whether it is the newest.
-func (s *Server) confirm(at time.Time) bool {
+// recordAnnouncement records the time of an announcement. It reports whether the announcement
+// is the latest one.
+func (s *Server) recordAnnouncement(at time.Time) bool {
 	newest := at.After(s.ConfirmedAt)
 	if newest {
 		s.ConfirmedAt = at
@@ -105,23 +109,23 @@
 	return newest
 }
 
-// serverFor returns what is known of the start that a view tells of: nothing yet when it is
-// new. It returns nil for a start that left or was replaced.
+// serverFor returns the state of the incarnation that a view reports, which is empty for a new
+// one. It returns nil for an incarnation that left or was replaced.
 func (f *Fleet) serverFor(m *pb.FleetServer, now time.Time) *Server {
 	var starts incarnation.History
-	if d, ok := f.gone[m.Id]; ok {
-		if d.starts.Compare(m.Start, now.Sub(d.at) > f.announcementsHold()) != incarnation.Newer {
+	if d, ok := f.departures[m.Id]; ok {
+		if d.starts.Compare(m.Start, now.Sub(d.at) > f.announcementTTL()) != incarnation.Newer {
 			return nil
 		}
 		starts = d.starts
-		delete(f.gone, m.Id)
+		delete(f.departures, m.Id)
 	}
 	if s := f.servers[m.Id]; s != nil {
 		switch s.starts.Compare(m.Start, f.missing(s)) {
 		case incarnation.Older:
 			return nil
 		case incarnation.Same:
-			f.learnStart(s, m.Start)
+			f.setMissingStart(s, m.Start)
 			return s
 		}
 		starts = s.starts
@@ -134,10 +138,10 @@
 	return s
 }
 
-// learnStart takes the start of a server that was told without one before.
-func (f *Fleet) learnStart(s *Server, start int64) {
+// setMissingStart sets the start time of a server that was first reported without one.
+func (f *Fleet) setMissingStart(s *Server, start int64) {
 	if s.Start == 0 && start != 0 {
-		delete(f.byKey, s.key)
+		delete(f.serversByKey, s.key)
 		f.setStart(s, start)
 	}
 }
@@ -146,17 +150,17 @@
 	s.Start = start
 	s.starts.Advance(start)
 	s.key = incarnation.Key(s.ID, start)
-	f.byKey[s.key] = s
+	f.serversByKey[s.key] = s
 }
 
-// MarkGone records that a start of a server will never be used again; 0 means the one that
-// is known.
+// MarkGone records that an incarnation of a server will never be used again; start 0 means the
+// current one.
 func (f *Fleet) MarkGone(id string, start int64, now time.Time) {
 	s := f.servers[id]
 	if s != nil && s.starts.Compare(start, false) == incarnation.Older {
 		return
 	}
-	d, ok := f.gone[id]
+	d, ok := f.departures[id]
 	if !ok {
 		d.at = now
 		if s != nil {
@@ -164,7 +168,7 @@
 		}
 	}
 	d.starts.Advance(start)
-	f.gone[id] = d
+	f.departures[id] = d
 	if s != nil {
 		s.Leaving = true
 		if s.underWay() == 0 {
@@ -177,18 +181,18 @@
 	if f.servers[s.ID] == s {
 		delete(f.servers, s.ID)
 	}
-	if f.byKey[s.key] == s {
-		delete(f.byKey, s.key)
+	if f.serversByKey[s.key] == s {
+		delete(f.serversByKey, s.key)
 	}
 }
 
-// IsGone reports whether the server's start is known to be gone.
+// IsGone reports whether the server's incarnation is recorded as gone.
 func (f *Fleet) IsGone(s *Server) bool {
-	_, ok := f.gone[s.ID]
+	_, ok := f.departures[s.ID]
 	return s.replaced || ok
 }
 
-// SetCold records that a server is cold until a moment: its cache is empty.
+// SetCold records that the server is cold, with an empty cache, until the given time.
 func (s *Server) SetCold(until time.Time) {
 	if until.After(s.ColdUntil) {
 		s.ColdUntil = until
@@ -196,16 +200,18 @@
 	}
 }
 
-// cold reports whether the server bears only few requests. One of a failure domain that was
-// evacuated may have become cold meanwhile, and its word of that may be lost: it counts as
-// cold until it announces itself again, an interval later at most: an engine that control
-// hosts could not hear would get all at once as its failure domain comes back, and fall over.
+// cold reports whether the server tolerates only a low rate of requests. A server of a failure
+// domain that was evacuated may have become cold in the meantime, and its announcement of that
+// may be lost. It therefore counts as cold until it announces itself again, at most one
+// interval later. Otherwise an engine whose announcements did not reach the control hosts would
+// receive its full load as soon as its failure domain is restored, and fail.
 func (s *Server) cold(now time.Time) bool {
 	return now.Before(s.ColdUntil) || s.restoredAt.After(s.ConfirmedAt)
 }
 
-// takeEvacuated takes the list of the evacuated failure domains.
-func (f *Fleet) takeEvacuated(domains []string, revision uint64, now time.Time) {
+// applyEvacuated stores the list of evacuated failure domains, unless a later revision is
+// stored.
+func (f *Fleet) applyEvacuated(domains []string, revision uint64, now time.Time) {
 	if revision < f.revision {
 		return
 	}
@@ -217,21 +223,22 @@
 	f.revision, f.evacuated = revision, domains
 }
 
-// missing reports whether a server has missed too many announcements, as of the last view:
-// while no control host can be reached, the servers last known stay in use.
+// missing reports whether a server had missed too many announcements at the time of the last
+// view. As the last view counts and not the current time, the last known servers stay in use
+// while no control host can be reached.
 func (f *Fleet) missing(s *Server) bool {
-	return f.viewedAt.Sub(s.ConfirmedAt) > f.announcementsHold()
+	return f.lastViewAt.Sub(s.ConfirmedAt) > f.announcementTTL()
 }
 
-// announcementsHold is how long an announcement counts on this host.
-func (f *Fleet) announcementsHold() time.Duration {
-	return registry.MissedAnnouncements*f.o.AnnounceEvery + viewDelay
+// announcementTTL returns how long an announcement is valid on this host.
+func (f *Fleet) announcementTTL() time.Duration {
+	return registry.MissedAnnouncements*f.o.AnnounceEvery + maxViewDelay
 }
 
-// Evacuated reports whether servers of a failure domain are to get nothing.
+// Evacuated reports whether a failure domain is evacuated, so that its servers get no requests.
 func (f *Fleet) Evacuated(domain string) bool { return slices.Contains(f.evacuated, domain) }
 
-// usable reports whether a server may be given new work, and why not.
+// usable returns why a server must not be sent new requests; "" if it may.
 func (f *Fleet) usable(s *Server, now time.Time) (reason string) {
 	switch {
 	case s.Leaving:
@@ -240,14 +247,14 @@
 		return "silent"
 	case f.Evacuated(s.FailureDomain):
 		return "evacuated"
-	case now.Before(s.health.closedUntil):
+	case now.Before(s.health.blockedUntil):
 		return "failing"
 	}
 	return ""
 }
 
-// Sightings returns the servers that are known, and the releases that the usable ones of each
-// service run.
+// Sightings returns the known servers, and the releases that each service's servers run,
+// leaving out servers that are leaving or have missed their announcements.
 func (f *Fleet) Sightings() (servers []quarantine.Sighting, releases map[string][]string) {
 	releases = map[string][]string{}
 	for _, s := range f.servers {
--- a/internal/core/dispatch/service_load_test.go
+++ b/internal/core/dispatch/service_load_test.go
@@ -13,52 +13,52 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Figures of the plain service that is played.
+// Parameters of the simulated plain service.
 const (
-	serviceSlots = 6
-	serviceQueue = 24 // requests that a server queues before it throws back
-	serviceMS    = 60
-	serviceAim   = 600 * time.Millisecond
-	regionWay    = 80 * time.Millisecond
-	servicePlay  = 5 * time.Millisecond
+	serviceSlots  = 6
+	serviceQueue  = 24 // requests that a server queues before it rejects further ones
+	serviceMS     = 60
+	serviceTarget = 600 * time.Millisecond
+	regionDelay   = 80 * time.Millisecond
+	serviceStep   = 5 * time.Millisecond
 )
 
-// playedService plays a plain service of a few servers in three regions that many hosts
-// share. A host knows its own region's work as it was 250 ms ago, and the other regions' as
-// it was 400 ms ago. Each region's peak comes at another time.
-type playedService struct {
-	rnd     *rand.Rand
-	now     time.Time
-	step    int
-	hosts   map[string][]*Fleet
-	names   []string
-	servers map[string][]*playedServer
-	budgets map[*Fleet]*retry.Shared
-	due     map[int][]func() // by step
-	told    []*pb.RegionLoad
+// simulatedService simulates a plain service with a few servers in three regions and many entry
+// hosts. A host has the load of its own region as of 250 ms ago, and that of the other regions
+// as of 400 ms ago. The load peaks of the regions are at different times.
+type simulatedService struct {
+	rnd             *rand.Rand
+	now             time.Time
+	step            int
+	hosts           map[string][]*Fleet
+	names           []string
+	servers         map[string][]*simulatedServer
+	budgets         map[*Fleet]*retry.Shared
+	due             map[int][]func() // by step
+	reportedRegions []*pb.RegionLoad
 
-	asked, inTime, refused int
-	arrived, thrownBack    int
-	away                   int
-	idleWhileWaiting       int // steps in which a region's servers idle and another's queues are full
+	requests, inTime, refused int
+	serverArrivals, rejected  int
+	forwarded                 int
+	idleSteps                 int // steps in which one region's servers are idle while another region's queues are full
 }
 
-// playedServer runs requests in the order of their arrival.
-type playedServer struct {
+// simulatedServer runs requests in the order of their arrival.
+type simulatedServer struct {
 	id      string
 	ms      float64
 	running int
 	queue   []func()
 }
 
-func newServicePlay(seed int64, hosts int, servers map[string]int) *playedService {
-	p := &playedService{
+func newSimulatedService(seed int64, hosts int, servers map[string]int) *simulatedService {
+	p := &simulatedService{
 		rnd: rand.New(rand.NewSource(seed)), now: start, names: []string{"east", "south", "west"},
-		hosts: map[string][]*Fleet{}, servers: map[string][]*playedServer{}, budgets: map[*Fleet]*retry.Shared{}, due: map[int][]func(){},
+		hosts: map[string][]*Fleet{}, servers: map[string][]*simulatedServer{}, budgets: map[*Fleet]*retry.Shared{}, due: map[int][]func(){},
 	}
 	for _, region := range p.names {
 		for i := range servers[region] {
-			p.servers[region] = append(p.servers[region], &playedServer{id: fmt.Sprintf("%s-s%d", region, i), ms: serviceMS * (0.85 + 0.3*p.rnd.Float64())})
+			p.servers[region] = append(p.servers[region], &simulatedServer{id: fmt.Sprintf("%s-s%d", region, i), ms: serviceMS * (0.85 + 0.3*p.rnd.Float64())})
 		}
 		for i := range hosts / len(p.names) {
 			h := New(Options{
@@ -72,14 +72,14 @@
 	return p
 }
 
-func (p *playedService) after(d time.Duration, f func()) {
-	at := p.step + max(1, int(d/servicePlay))
+func (p *simulatedService) after(d time.Duration, f func()) {
+	at := p.step + max(1, int(d/serviceStep))
 	p.due[at] = append(p.due[at], f)
 }
 
-// view gives each host what the others of its region have under way, and the other regions'
-// work as it was told before.
-func (p *playedService) view() {
+// exchangeLoads gives each host the loads of the other hosts of its region, and the other
+// regions' loads as reported at the previous exchange.
+func (p *simulatedService) exchangeLoads() {
 	next := []*pb.RegionLoad{}
 	for _, region := range p.names {
 		sums, own := serverload.Loads{}, make([]serverload.Loads, len(p.hosts[region]))
@@ -95,10 +95,10 @@
 			h.TakeView(p.viewOf(region, others), Everything, p.now)
 		}
 	}
-	p.told = next
+	p.reportedRegions = next
 }
 
-func (p *playedService) regionLoad(region string, sums serverload.Loads) *pb.RegionLoad {
+func (p *simulatedService) regionLoad(region string, sums serverload.Loads) *pb.RegionLoad {
 	l := &pb.RegionLoad{Region: region, Service: "desk", Servers: uint32(len(p.servers[region])), Slots: uint32(serviceSlots * len(p.servers[region]))}
 	for _, s := range p.servers[region] {
 		l.Requests += sums[holders.Key(s.id)].Requests
@@ -107,7 +107,7 @@
 	return l
 }
 
-func (p *playedService) viewOf(region string, others serverload.Loads) *pb.FleetView {
+func (p *simulatedService) viewOf(region string, others serverload.Loads) *pb.FleetView {
 	v := &pb.FleetView{Loads: serverload.Encode(others)}
 	for _, name := range p.names {
 		if name == region {
@@ -118,7 +118,7 @@
 		}
 		v.Hosts = append(v.Hosts, &pb.FleetHost{Id: name + "-h000", Peer: name, Region: name, Ready: true})
 	}
-	for _, l := range p.told {
+	for _, l := range p.reportedRegions {
 		if l.Region != region {
 			l.AgeMs = 400
 			v.Regions = append(v.Regions, l)
@@ -130,17 +130,18 @@
 	return v
 }
 
-// run plays a mean load, as a share of what all servers can run, for some seconds.
-func (p *playedService) run(seconds int, load float64) {
+// run simulates a mean load, as a fraction of the capacity of all servers, for a number of
+// seconds.
+func (p *simulatedService) run(seconds int, load float64) {
 	n := 0
 	for _, servers := range p.servers {
 		n += len(servers)
 	}
-	mean := load * float64(n) * serviceSlots * 1000 / serviceMS // requests a second of all regions
-	const viewEvery = int(250 * time.Millisecond / servicePlay)
-	for p.step = 0; p.step < seconds*int(time.Second/servicePlay); p.step++ {
+	mean := load * float64(n) * serviceSlots * 1000 / serviceMS // requests per second of all regions
+	const viewEvery = int(250 * time.Millisecond / serviceStep)
+	for p.step = 0; p.step < seconds*int(time.Second/serviceStep); p.step++ {
 		if p.step%viewEvery == 0 {
-			p.view()
+			p.exchangeLoads()
 		}
 		for _, f := range p.due[p.step] {
 			f()
@@ -153,20 +154,20 @@
 				p.arrive(region)
 			}
 		}
-		p.noteIdle()
-		p.now = p.now.Add(servicePlay)
+		p.countIdleStep()
+		p.now = p.now.Add(serviceStep)
 	}
 }
 
-func (p *playedService) arrivals(perSecond float64) int {
-	n, mean := 0, perSecond*servicePlay.Seconds()
+func (p *simulatedService) arrivals(perSecond float64) int {
+	n, mean := 0, perSecond*serviceStep.Seconds()
 	for at := p.rnd.ExpFloat64(); at < mean; at += p.rnd.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-func (p *playedService) noteIdle() {
+func (p *simulatedService) countIdleStep() {
 	idle, full := false, false
 	for _, servers := range p.servers {
 		running, queued := 0, 0
@@ -177,38 +178,38 @@
 		full = full || queued*4 > 3*serviceQueue*len(servers)
 	}
 	if idle && full {
-		p.idleWhileWaiting++
+		p.idleSteps++
 	}
 }
 
-// call is a caller's request on its way.
-type call struct {
-	arrived time.Time
-	tried   map[string]bool
-	sends   int
+// callerRequest is a request of a caller that is under way.
+type callerRequest struct {
+	arrived  time.Time
+	tried    map[string]bool
+	attempts int
 }
 
-func (p *playedService) arrive(region string) {
-	p.asked++
+func (p *simulatedService) arrive(region string) {
+	p.requests++
 	h := p.hosts[region][p.rnd.Intn(len(p.hosts[region]))]
 	h.Arrived("desk", p.now)
 	p.budgets[h].Request(p.now)
-	p.try(h, &call{arrived: p.now, tried: map[string]bool{}})
+	p.try(h, &callerRequest{arrived: p.now, tried: map[string]bool{}})
 }
 
-func (p *playedService) job(c *call, forwarded bool) *Job {
+func (p *simulatedService) job(c *callerRequest, forwarded bool) *Job {
 	return &Job{
 		Service: "desk", Permits: func(string) bool { return true }, Remaining: 10*time.Second - p.now.Sub(c.arrived),
-		Target: serviceAim, Tried: c.tried, Forwarded: forwarded,
+		Target: serviceTarget, Tried: c.tried, Forwarded: forwarded,
 	}
 }
 
-// try makes an attempt of a caller's request, four at most and as the budget of retries
+// try makes one attempt of a caller's request, at most four and only as the retry budget
 // allows.
-func (p *playedService) try(h *Fleet, c *call) {
-	const sends = 4
-	c.sends++
-	if c.sends > sends || (c.sends > 1 && !p.budgets[h].Repeat(p.now)) {
+func (p *simulatedService) try(h *Fleet, c *callerRequest) {
+	const maxAttempts = 4
+	c.attempts++
+	if c.attempts > maxAttempts || (c.attempts > 1 && !p.budgets[h].Repeat(p.now)) {
 		p.refused++
 		return
 	}
@@ -220,12 +221,12 @@
 	h.Started(&choice, p.now)
 	again := func() { p.try(h, c) }
 	answered := func() {
-		if p.now.Sub(c.arrived) <= serviceAim {
+		if p.now.Sub(c.arrived) <= serviceTarget {
 			p.inTime++
 		}
 	}
 	if choice.Host != nil {
-		p.away++
+		p.forwarded++
 		c.tried[choice.Host.ID] = true
 		p.forward(h, choice, c, answered, again)
 		return
@@ -233,7 +234,7 @@
 	p.send(h, choice, c, answered, again)
 }
 
-func (p *playedService) send(h *Fleet, choice Choice, c *call, answered, again func()) {
+func (p *simulatedService) send(h *Fleet, choice Choice, c *callerRequest, answered, again func()) {
 	c.tried[choice.Server.ID] = true
 	began := p.now
 	p.serve(choice.Server, func() {
@@ -246,13 +247,13 @@
 	})
 }
 
-// forward carries a request to another region's host, which tries its servers.
-func (p *playedService) forward(h *Fleet, choice Choice, c *call, answered, again func()) {
+// forward sends a request to an entry host of another region, which tries its servers.
+func (p *simulatedService) forward(h *Fleet, choice Choice, c *callerRequest, answered, again func()) {
 	there := choice.Host.Region
 	remote := p.hosts[there][p.rnd.Intn(len(p.hosts[there]))]
-	rc := &call{arrived: c.arrived, tried: map[string]bool{}}
+	rc := &callerRequest{arrived: c.arrived, tried: map[string]bool{}}
 	back := func(f func(), o Outcome) {
-		p.after(regionWay, func() {
+		p.after(regionDelay, func() {
 			h.Ended(&choice, o, 0, p.now)
 			f()
 		})
@@ -260,20 +261,20 @@
 	var attempt func()
 	attempt = func() {
 		rchoice := remote.Choose(p.job(rc, true), p.now)
-		rc.sends++
-		if rc.sends > 2 || rchoice.Refused != "" || (rc.sends > 1 && !p.budgets[remote].Repeat(p.now)) {
+		rc.attempts++
+		if rc.attempts > 2 || rchoice.Refused != "" || (rc.attempts > 1 && !p.budgets[remote].Repeat(p.now)) {
 			back(func() { c.tried[there] = true; again() }, Refused)
 			return
 		}
 		remote.Started(&rchoice, p.now)
 		p.send(remote, rchoice, rc, func() { back(answered, Served) }, attempt)
 	}
-	p.after(regionWay, attempt)
+	p.after(regionDelay, attempt)
 }
 
-func (p *playedService) serve(server *Server, done, thrownBack func()) {
-	p.arrived++
-	var s *playedServer
+func (p *simulatedService) serve(server *Server, done, reject func()) {
+	p.serverArrivals++
+	var s *simulatedServer
 	for _, servers := range p.servers {
 		for _, one := range servers {
 			if one.id == server.ID {
@@ -287,12 +288,12 @@
 	case len(s.queue) < serviceQueue:
 		s.queue = append(s.queue, done)
 	default:
-		p.thrownBack++
-		p.after(time.Millisecond, thrownBack)
+		p.rejected++
+		p.after(time.Millisecond, reject)
 	}
 }
 
-func (p *playedService) runAt(s *playedServer, done func()) {
+func (p *simulatedService) runAt(s *simulatedServer, done func()) {
 	s.running++
 	p.after(time.Duration(s.ms*float64(time.Millisecond)), func() {
 		s.running--
@@ -305,19 +306,20 @@
 	})
 }
 
-// TestManyHostsShareASmallService plays seven servers in three regions that 294 hosts share,
-// and the same with nine hosts and three servers. The mean load is a share of what all
-// servers together can run; each region's peak is 1.8 times its mean, at another time.
+// TestManyHostsShareASmallService simulates seven servers in three regions with 294 entry
+// hosts, and three servers with nine hosts. The mean load is a fraction of the capacity of all
+// servers; each region's peak is 1.8 times its mean and at another time. Hosts that choose the
+// best server by themselves on the same old figures all choose the same server.
 func TestManyHostsShareASmallService(t *testing.T) {
 	seven := map[string]int{"east": 3, "south": 2, "west": 2}
 	three := map[string]int{"east": 1, "south": 1, "west": 1}
 	for _, c := range []struct {
-		name       string
-		hosts      int
-		servers    map[string]int
-		load       float64 // share of what all servers can run
-		thrownBack float64 // share of the arrivals at servers, at most
-		inTime     float64 // share of the requests, at least
+		name        string
+		hosts       int
+		servers     map[string]int
+		load        float64 // fraction of the capacity of all servers
+		maxRejected float64 // fraction of the arrivals at servers
+		minInTime   float64 // fraction of the requests
 	}{
 		{"many hosts, half of what the servers can run", 294, seven, 0.5, 0.01, 0.98},
 		{"many hosts, at 80%", 294, seven, 0.8, 0.01, 0.97},
@@ -326,41 +328,42 @@
 		{"few hosts, at 80%", 9, three, 0.8, 0.02, 0.95},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newServicePlay(1, c.hosts, c.servers)
-			p.run(serviceSeconds, c.load)
-			thrownBack, inTime := float64(p.thrownBack)/float64(p.arrived), float64(p.inTime)/float64(p.asked)
-			t.Logf("%d asked, %.3f in time, %d refused, %.4f thrown back, %.3f sent away, %d steps idle while others' queues are full",
-				p.asked, inTime, p.refused, thrownBack, float64(p.away)/float64(p.asked), p.idleWhileWaiting)
-			if thrownBack > c.thrownBack {
-				t.Errorf("%.4f thrown back, at most %.4f", thrownBack, c.thrownBack)
+			p := newSimulatedService(1, c.hosts, c.servers)
+			p.run(serviceDurationS, c.load)
+			rejected, inTime := float64(p.rejected)/float64(p.serverArrivals), float64(p.inTime)/float64(p.requests)
+			t.Logf("%d requests, %.3f in time, %d refused, %.4f rejected by servers, %.3f forwarded, %d steps idle while other regions' queues are full",
+				p.requests, inTime, p.refused, rejected, float64(p.forwarded)/float64(p.requests), p.idleSteps)
+			if rejected > c.maxRejected {
+				t.Errorf("%.4f rejected by servers, at most %.4f", rejected, c.maxRejected)
 			}
-			if inTime < c.inTime {
-				t.Errorf("%.3f in time, at least %.3f", inTime, c.inTime)
+			if inTime < c.minInTime {
+				t.Errorf("%.3f in time, at least %.3f", inTime, c.minInTime)
 			}
-			if idle := p.idleShare(); c.load <= 0.8 && idle > maxIdle {
-				t.Errorf("for %.2f of the time servers idle while another region's queues are full", idle)
+			if idle := p.idleShare(); c.load <= 0.8 && idle > maxIdleShare {
+				t.Errorf("for %.2f of the time servers are idle while another region's queues are full", idle)
 			}
 		})
 	}
 }
 
-// maxIdle is the share of the time in which a region's servers may idle while another
-// region's queues are full: hosts hear of the other one 0.4 s late, a few times in a period.
-const maxIdle = 0.05
+// maxIdleShare is the fraction of the time for which a region's servers may be idle while
+// another region's queues are full: the figures of the other region are 0.4 s old when they
+// arrive, a few times in a period.
+const maxIdleShare = 0.05
 
-// serviceSeconds is more than a period of the regions' peaks.
-const serviceSeconds = 18
+// serviceDurationS is longer than a period of the regions' load peaks.
+const serviceDurationS = 18
 
-func (p *playedService) idleShare() float64 {
-	return float64(p.idleWhileWaiting) * servicePlay.Seconds() / serviceSeconds
+func (p *simulatedService) idleShare() float64 {
+	return float64(p.idleSteps) * serviceStep.Seconds() / serviceDurationS
 }
 
-// TestNoRegionIdlesAtTheLimit: also at 95% of what all servers can run no region's servers
-// idle while another's queues are full.
+// TestNoRegionIdlesAtTheLimit checks that at 95% of the capacity of all servers, too, no
+// region's servers are idle while another region's queues are full.
 func TestNoRegionIdlesAtTheLimit(t *testing.T) {
-	p := newServicePlay(1, 294, map[string]int{"east": 3, "south": 2, "west": 2})
-	p.run(serviceSeconds, 0.95)
-	if idle := p.idleShare(); idle > maxIdle {
-		t.Errorf("for %.2f of the time servers idle while another region's queues are full", idle)
+	p := newSimulatedService(1, 294, map[string]int{"east": 3, "south": 2, "west": 2})
+	p.run(serviceDurationS, 0.95)
+	if idle := p.idleShare(); idle > maxIdleShare {
+		t.Errorf("for %.2f of the time servers are idle while another region's queues are full", idle)
 	}
 }
--- a/internal/core/dispatch/share.go
+++ b/internal/core/dispatch/share.go
@@ -7,56 +7,59 @@
 	"time"
 )
 
-// Hundreds of hosts send requests to the few servers of a plain service, each a request a
-// second, on figures a quarter of a second old. A host that looks for the best server on
-// its own sends where all others send, and sends to another region only when its own servers
-// throw back. Here the hosts work out the same shares from the same figures: what callers of
-// each region ask, what its servers can run, and what waits there already. Each request goes
-// where a draw by these shares sends it (TestManyHostsShareASmallService).
-
-// Figures of the sharing.
+// Hundreds of entry hosts may send requests to the few servers of a plain service, each about
+// one request per second, on load figures that are a quarter of a second old. If each host
+// chose the best server by itself, all would choose the same one, and requests would go to
+// another region only after the own servers have rejected them. Instead, all hosts compute the
+// same shares from the same figures: the arrivals from each region's callers, the capacity of
+// each region's servers, and the requests already waiting there. A random draw by these shares
+// decides where each request goes (TestManyHostsShareASmallService).
+
+// Parameters of the sharing.
 const (
-	// usableCapacity is the part of their capacity up to which servers are given requests:
+	// usableCapacity is the fraction of their capacity up to which servers are given requests:
 	// closer to it queues grow without bound.
 	usableCapacity = 0.95
-	// clearWithin is the time in which requests that wait for a slot should be worked off. It
-	// is longer than the figures are old, so that the hosts together don't overshoot.
-	clearWithin = 500 * time.Millisecond
-	// figuresAge is how old the figures of the own region's servers are at most.
-	figuresAge = 300 * time.Millisecond
-	// shareLoss is what a place costs beyond its share: more than the way to another region,
-	// less than a server that fails half of its requests.
-	shareLoss = 0.5
-	// orderLoss is what a server costs for each other one that was drawn before it.
+	// queueDrainTime is the time in which queued requests should be worked off. It is longer
+	// than the age of the figures, so that the hosts together do not overshoot.
+	queueDrainTime = 500 * time.Millisecond
+	// maxLoadAge is the maximum age of the load figures of the own region's servers.
+	maxLoadAge = 300 * time.Millisecond
+	// unassignedRegionLoss is the loss of sending a request to a region other than the drawn
+	// one: more than that of the delay to another region, less than that of a server that fails
+	// half of its requests.
+	unassignedRegionLoss = 0.5
+	// orderLoss is the loss of a server for each other one that ranks before it.
 	orderLoss = 0.1
-	// nearFill is the share up to which the region's servers, and the slots of each, may be in
-	// use for those of the own failure domain to go first.
-	nearFill = 0.5
+	// ownDomainMaxFill is the utilization of the region's capacity, and of a server's slots,
+	// below which servers of the own failure domain are preferred.
+	ownDomainMaxFill = 0.5
 )
 
-// pool is the servers of a plain service in one region.
+// pool summarizes the servers of a plain service in one region.
 type pool struct {
 	region   string
-	capacity float64 // requests a second that they can run
-	arrivals float64 // requests a second from the region's own callers
-	waiting  float64 // requests that wait for a slot
+	capacity float64 // in requests per second
+	arrivals float64 // requests per second from the region's own callers
+	waiting  float64 // requests waiting for a slot
 }
 
-// surplus is how many requests a second the pool can take from other regions; below zero,
-// how many it should give them.
+// surplus returns the requests per second that the pool can take from other regions; if
+// negative, the requests per second that it should send to them.
 func (p pool) surplus() float64 {
-	return usableCapacity*p.capacity - p.arrivals - p.waiting/clearWithin.Seconds()
+	return usableCapacity*p.capacity - p.arrivals - p.waiting/queueDrainTime.Seconds()
 }
 
-// share is the part of the own callers' requests that goes to another region.
-type share struct {
+// regionShare is the fraction of the own callers' requests that goes to another region.
+type regionShare struct {
 	region string
 	part   float64
 }
 
-// shareOut returns what the own region gives to others. Where all regions together ask for
-// more than can be run, each one that has too much gives the same part of it.
-func shareOut(own pool, others []pool) []share {
+// excessShares returns the shares of requests that the own region sends to others. If all
+// regions together receive more than their servers can run, each overloaded region sends away
+// the same fraction of its excess.
+func excessShares(own pool, others []pool) []regionShare {
 	excess := -own.surplus()
 	if excess <= 0 || own.arrivals <= 0 {
 		return nil
@@ -67,17 +70,18 @@
 		wanted += math.Max(0, -p.surplus())
 	}
 	given := math.Min(1, excess/own.arrivals) * math.Min(1, spare/wanted)
-	var out []share
+	var out []regionShare
 	for _, p := range others {
 		if s := p.surplus(); s > 0 {
-			out = append(out, share{p.region, given * s / spare})
+			out = append(out, regionShare{p.region, given * s / spare})
 		}
 	}
 	return out
 }
 
-// draw returns the region for a point between 0 and 1; own for the rest.
-func draw(shares []share, point float64, own string) string {
+// drawRegion returns the region that a point in [0, 1) falls to; own if it falls to none of the
+// shares.
+func drawRegion(shares []regionShare, point float64, own string) string {
 	for _, s := range shares {
 		if point -= s.part; point < 0 {
 			return s.region
@@ -86,115 +90,118 @@
 	return own
 }
 
-// preference is where the shares send one request. The zero preference is that of a request
-// that is not shared out: no place costs anything beside its own cost.
+// preference is the result of the random draw for one request. The zero preference, of a
+// request that is not distributed by shares, adds no loss to any candidate.
 type preference struct {
-	turn  *Turn           // nil for the zero preference
-	place map[*Server]int // of the region's servers, in the order in which they are preferred
+	turn *Turn           // nil in the zero preference
+	rank map[*Server]int // position of each server of the own region, most preferred first
 }
 
-// Turn is what sent a request for a plain service to one region, for the log.
+// Turn is the region drawn for a request for a plain service, with the figures of the own
+// region that led to it, for the log.
 type Turn struct {
-	Region  string  // whose turn the request is
-	Asked   float64 // requests a second from the own region's callers
-	CanRun  float64 // requests a second that its servers can run
-	Waiting float64 // requests that wait there for a slot
+	Region  string  // the drawn region
+	Asked   float64 // requests per second from the own region's callers
+	CanRun  float64 // requests per second that the own region's servers can run
+	Waiting float64 // requests waiting for a slot in the own region
 }
 
-// preferenceFor draws where a request for a plain service goes. One that another region sent
-// stays.
+// preferenceFor draws the region and the order of servers for a request for a plain service. A
+// request that another region forwarded stays in the own region.
 func (f *Fleet) preferenceFor(j *Job, now time.Time) preference {
-	if j.Engine || f.off(Shares) {
+	if j.Engine || f.disabled(Shares) {
 		return preference{}
 	}
 	servers := f.warmServers(j.Service, now)
 	for _, s := range servers {
-		s.weighed = f.requestsAt(s, now)
+		s.estimatedRequests = f.requestsAt(s, now)
 	}
-	here := f.poolHere(j.Service, servers, now)
-	t := &Turn{f.o.Region, here.arrivals, here.capacity, here.waiting}
-	place := f.order(servers, here)
+	own := f.ownPool(j.Service, servers, now)
+	t := &Turn{f.o.Region, own.arrivals, own.capacity, own.waiting}
+	rank := f.rankServers(servers, own)
 	if !j.Forwarded {
-		t.Region = draw(shareOut(here, f.poolsAway(j, now)), f.o.Random(), f.o.Region)
+		t.Region = drawRegion(excessShares(own, f.otherPools(j, now)), f.o.Random(), f.o.Region)
 	}
-	return preference{t, place}
+	return preference{t, rank}
 }
 
-// beyond is what a region costs when it is not its turn.
-func (p preference) beyond(region string) float64 {
+// regionLoss returns the loss of sending the request to a region, which is 0 for the drawn one.
+func (p preference) regionLoss(region string) float64 {
 	if p.turn == nil || p.turn.Region == region {
 		return 0
 	}
-	return shareLoss
+	return unassignedRegionLoss
 }
 
-// at is what a server of the own region costs by the order.
-func (p preference) at(s *Server) float64 { return orderLoss * float64(p.place[s]) }
+// serverLoss returns the loss of a server of the own region by its rank.
+func (p preference) serverLoss(s *Server) float64 { return orderLoss * float64(p.rank[s]) }
 
-// perSlot is how many requests a second a slot runs.
-func (f *Fleet) perSlot(service string) float64 { return 1000 / f.speedOf(service).AnswerMS() }
+// requestsPerSlot returns the number of requests that a slot of the service runs per second.
+func (f *Fleet) requestsPerSlot(service string) float64 { return 1000 / f.speedOf(service).AnswerMS() }
 
-func (f *Fleet) poolHere(service string, servers []*Server, now time.Time) pool {
+func (f *Fleet) ownPool(service string, servers []*Server, now time.Time) pool {
 	slots, requests := 0, 0.0
 	for _, s := range servers {
 		slots += s.Slots
-		requests += s.weighed
+		requests += s.estimatedRequests
 	}
 	return pool{
-		region: f.o.Region, capacity: float64(slots) * f.perSlot(service), arrivals: f.arrivals[service].perSecond(now),
+		region: f.o.Region, capacity: float64(slots) * f.requestsPerSlot(service), arrivals: f.arrivals[service].perSecond(now),
 		waiting: math.Max(0, requests-float64(slots)),
 	}
 }
 
-// poolsAway returns the other regions' pools that may run the request, sorted by region.
-func (f *Fleet) poolsAway(j *Job, now time.Time) []pool {
+// otherPools returns the pools of the other regions that may run the request, sorted by region.
+func (f *Fleet) otherPools(j *Job, now time.Time) []pool {
 	var out []pool
 	for key, r := range f.regions {
-		if key.service == j.Service && r.servers > 0 && j.Permits(key.region) && now.Sub(r.at) <= regionSilence {
-			out = append(out, f.poolAway(key, r))
+		if key.service == j.Service && r.servers > 0 && j.Permits(key.region) && now.Sub(r.asOf) <= maxRegionAge {
+			out = append(out, f.otherPool(key, r))
 		}
 	}
 	slices.SortFunc(out, func(a, b pool) int { return cmp.Compare(a.region, b.region) })
 	return out
 }
 
-func (f *Fleet) poolAway(key regionKey, r *region) pool {
+func (f *Fleet) otherPool(key regionKey, r *region) pool {
 	return pool{
-		region: key.region, capacity: r.slots * f.perSlot(key.service), arrivals: r.arrivals,
-		waiting: math.Max(0, r.requests+float64(r.sent.requests)-r.slots),
+		region: key.region, capacity: r.slots * f.requestsPerSlot(key.service), arrivals: r.arrivals,
+		waiting: math.Max(0, r.requests+float64(r.forwarded.requests)-r.slots),
 	}
 }
 
-// warmServers returns the own region's servers of a service that can be used, sorted by ID.
+// warmServers returns the usable servers of a service in the own region that are not cold,
+// sorted by ID.
 func (f *Fleet) warmServers(service string, now time.Time) []*Server {
-	return slices.DeleteFunc(f.ofService(service), func(s *Server) bool { return f.usable(s, now) != "" || s.cold(now) })
+	return slices.DeleteFunc(f.serversOf(service), func(s *Server) bool { return f.usable(s, now) != "" || s.cold(now) })
 }
 
-// order draws the order in which a plain service's servers of the own region are preferred.
-// It returns the place of each. Until the next figures come, all hosts together bring the
-// servers to the same level: each is drawn by what it lacks to that, so that a full server
-// gets less, and not all goes to the emptiest (M. Dahlin, "Interpreting Stale Load
-// Information", ICDCS 1999).
-func (f *Fleet) order(servers []*Server, here pool) map[*Server]int {
-	type drawn struct {
-		server *Server
-		near   bool
-		key    float64
-	}
-	calm := here.arrivals < nearFill*here.capacity
-	coming := math.Max(here.arrivals, here.capacity/2) * figuresAge.Seconds()
-	level := fillLevel(servers, coming)
-	list := make([]drawn, 0, len(servers))
+// rankServers draws a random order of preference of a plain service's servers in the own
+// region, and returns the rank of each. Until the next figures arrive, all hosts together fill
+// the servers to the same level. Each server is drawn in proportion to the requests that it
+// lacks to that level, so that a full server gets fewer requests, but not all of them go to the
+// emptiest one (M. Dahlin, "Interpreting Stale Load Information", ICDCS 1999).
+func (f *Fleet) rankServers(servers []*Server, own pool) map[*Server]int {
+	type rankedServer struct {
+		server    *Server
+		preferred bool
+		key       float64
+	}
+	lightLoad := own.arrivals < ownDomainMaxFill*own.capacity
+	expected := math.Max(own.arrivals, own.capacity/2) * maxLoadAge.Seconds()
+	level := fillLevel(servers, expected)
+	list := make([]rankedServer, 0, len(servers))
 	for _, s := range servers {
 		fill := s.fill()
-		near := calm && s.FailureDomain == f.o.FailureDomain && fill < nearFill
-		lacks := math.Max(minLacks, (level-fill)*s.slots())
-		// The smallest of exponential variates with these rates is drawn in proportion to them.
-		list = append(list, drawn{s, near, -math.Log(1-f.o.Random()) / lacks})
-	}
-	slices.SortFunc(list, func(a, b drawn) int {
-		if a.near != b.near {
-			if a.near {
+		preferred := lightLoad && s.FailureDomain == f.o.FailureDomain && fill < ownDomainMaxFill
+		deficit := math.Max(minDeficit, (level-fill)*s.slots())
+		// The smallest of several exponential variates belongs to each server with a
+		// probability proportional to its rate, which is the deficit here.
+		list = append(list, rankedServer{s, preferred, -math.Log(1-f.o.Random()) / deficit})
+	}
+	slices.SortFunc(list, func(a, b rankedServer) int {
+		if a.preferred != b.preferred {
+			if a.preferred {
 				return -1
 			}
 			return 1
@@ -208,16 +215,16 @@
 	return out
 }
 
-// minLacks keeps every server in the draw.
-const minLacks = 0.1
+// minDeficit is the deficit of a full server, in requests: it keeps every server in the draw.
+const minDeficit = 0.1
 
-// fill is the server's requests for each of its slots.
-func (s *Server) fill() float64 { return s.weighed / s.slots() }
+// fill returns the estimated number of requests per slot of the server.
+func (s *Server) fill() float64 { return s.estimatedRequests / s.slots() }
 
 func (s *Server) slots() float64 { return float64(max(1, s.Slots)) }
 
-// fillLevel returns the fill to which so many further requests bring the servers when the
-// emptiest are filled first.
+// fillLevel returns the fill that the servers reach with so many further requests if the
+// emptiest servers are filled first.
 func fillLevel(servers []*Server, requests float64) float64 {
 	byFill := slices.Clone(servers)
 	slices.SortFunc(byFill, func(a, b *Server) int { return cmp.Compare(a.fill(), b.fill()) })
