--- a/internal/core/dispatch/share_test.go
+++ b/internal/core/dispatch/share_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestShareOut(t *testing.T) {
-	full := func(arrivals, waiting float64) pool {
+	loaded := func(arrivals, waiting float64) pool {
 		return pool{capacity: 100 / usableCapacity, arrivals: arrivals, waiting: waiting}
 	}
 	named := func(region string, p pool) pool { p.region = region; return p }
@@ -16,20 +16,20 @@
 		name   string
 		own    pool
 		others []pool
-		want   []share
+		want   []regionShare
 	}{
-		{"enough here", full(99, 0), []pool{named("b", full(0, 0))}, nil},
-		{"no other region", full(150, 0), nil, nil},
-		{"a third too much", full(150, 0), []pool{named("b", full(50, 0))}, []share{{"b", 1.0 / 3}}},
-		{"half of it has room", full(150, 0), []pool{named("b", full(75, 0))}, []share{{"b", 1.0 / 6}}},
-		{"two with room share it", full(150, 0), []pool{named("b", full(20, 0)), named("c", full(80, 0))}, []share{{"b", 0.8 / 3}, {"c", 0.2 / 3}}},
-		{"another wants the room too", full(150, 0), []pool{named("b", full(50, 0)), named("c", full(200, 0))}, []share{{"b", 1.0 / 9}}},
-		{"requests wait here", full(100, 25), []pool{named("b", full(0, 0))}, []share{{"b", 0.5}}},
-		{"requests wait there", full(150, 0), []pool{named("b", full(50, 25))}, nil},
-		{"no server here", pool{arrivals: 50}, []pool{named("b", full(0, 0))}, []share{{"b", 1}}},
+		{"enough capacity", loaded(99, 0), []pool{named("b", loaded(0, 0))}, nil},
+		{"no other region", loaded(150, 0), nil, nil},
+		{"a third in excess", loaded(150, 0), []pool{named("b", loaded(50, 0))}, []regionShare{{"b", 1.0 / 3}}},
+		{"room for half of the excess", loaded(150, 0), []pool{named("b", loaded(75, 0))}, []regionShare{{"b", 1.0 / 6}}},
+		{"two regions with room", loaded(150, 0), []pool{named("b", loaded(20, 0)), named("c", loaded(80, 0))}, []regionShare{{"b", 0.8 / 3}, {"c", 0.2 / 3}}},
+		{"another region has an excess too", loaded(150, 0), []pool{named("b", loaded(50, 0)), named("c", loaded(200, 0))}, []regionShare{{"b", 1.0 / 9}}},
+		{"requests wait here", loaded(100, 25), []pool{named("b", loaded(0, 0))}, []regionShare{{"b", 0.5}}},
+		{"requests wait there", loaded(150, 0), []pool{named("b", loaded(50, 25))}, nil},
+		{"no server here", pool{arrivals: 50}, []pool{named("b", loaded(0, 0))}, []regionShare{{"b", 1}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := shareOut(c.own, c.others)
+			got := excessShares(c.own, c.others)
 			if len(got) != len(c.want) {
 				t.Fatalf("got %v, want %v", got, c.want)
 			}
@@ -42,8 +42,9 @@
 	}
 }
 
-// TestShareOutGivesNoMoreThanThereIs: what all regions give by the same figures is neither
-// more than they have too much nor more than the others have room for.
+// TestShareOutGivesNoMoreThanThereIs checks that the requests that regions send to each other,
+// computed from the same figures, exceed neither the excess of the sender nor the free capacity
+// of the receiver.
 func TestShareOutGivesNoMoreThanThereIs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var pools []pool
@@ -56,7 +57,7 @@
 			var others []pool
 			others = append(append(others, pools[:i]...), pools[i+1:]...)
 			given := 0.0
-			for _, s := range shareOut(own, others) {
+			for _, s := range excessShares(own, others) {
 				taken[s.region] += s.part * own.arrivals
 				given += s.part * own.arrivals
 			}
@@ -73,7 +74,7 @@
 }
 
 func TestFillLevel(t *testing.T) {
-	server := func(requests int) *Server { return &Server{Slots: 10, weighed: float64(requests)} }
+	server := func(requests int) *Server { return &Server{Slots: 10, estimatedRequests: float64(requests)} }
 	for _, c := range []struct {
 		name     string
 		servers  []*Server
--- a/internal/core/dispatch/slots_load_test.go
+++ b/internal/core/dispatch/slots_load_test.go
@@ -12,19 +12,20 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// slotsPlay plays regions whose engines are short of slots: a request keeps one for seconds,
-// and waits in the engine's queue while none is free. Callers leave who wait too long. Hosts
-// choose on figures a quarter of a second old; while control hosts are cut from each other,
-// each tells of the hosts of its own failure domain only, and of no other region.
-type slotsPlay struct {
+// slotSimulation simulates regions whose engines are short of slots: a request holds a slot for
+// seconds, and waits in the engine's queue while none is free. Callers disconnect after
+// callerTimeout. Hosts choose on load figures a quarter of a second old. While the control
+// hosts are cut off from each other, each reports only the hosts of its own failure domain, and
+// no other region.
+type slotSimulation struct {
 	rnd     *rand.Rand
 	now     time.Time
 	regions []*slotRegion
 	cut     bool
-	// asks lets hosts ask those of other regions for loads.
-	asks  bool
-	tally map[string]int
-	limit time.Duration // until a caller leaves
+	// queryRegions makes hosts query the hosts of other regions for loads.
+	queryRegions  bool
+	tally         map[string]int
+	callerTimeout time.Duration // time after which a caller disconnects
 }
 
 type slotRegion struct {
@@ -35,29 +36,29 @@
 
 type slotEngine struct {
 	running int
-	queue   []*slotRequest // those that are not deferred first
+	queue   []*slotRequest // deferred requests last
 }
 
 type slotRequest struct {
-	host     *Fleet // that chose the engine
+	host     *Fleet // host that chose the engine
 	choice   Choice
 	arrived  time.Time
 	end      time.Time
-	began    bool
+	started  bool
 	deferred bool
 }
 
 const (
-	regionSlots  = 32
-	slotHold     = 2 * time.Second
-	slotFirst    = 60 * time.Millisecond
-	slotTarget   = time.Second
-	slotPatience = 4800 * time.Millisecond
-	slotWay      = 165 * time.Millisecond // to another region and back
+	regionSlots       = 32
+	slotHold          = 2 * time.Second
+	slotFirst         = 60 * time.Millisecond
+	slotTarget        = time.Second
+	slotCallerTimeout = 4800 * time.Millisecond
+	slotRegionRTT     = 165 * time.Millisecond // round trip to another region
 )
 
-func newSlotsPlay(seed int64, hosts int, engines map[string]int) *slotsPlay {
-	p := &slotsPlay{rnd: rand.New(rand.NewSource(seed)), now: start, tally: map[string]int{}, limit: slotPatience}
+func newSlotSimulation(seed int64, hosts int, engines map[string]int) *slotSimulation {
+	p := &slotSimulation{rnd: rand.New(rand.NewSource(seed)), now: start, tally: map[string]int{}, callerTimeout: slotCallerTimeout}
 	for _, name := range []string{"west", "east"} {
 		if engines[name] == 0 {
 			continue
@@ -76,8 +77,8 @@
 	return p
 }
 
-// view gives every host what its control host tells.
-func (p *slotsPlay) view() {
+// exchangeLoads gives every host a view with what its control host reports.
+func (p *slotSimulation) exchangeLoads() {
 	all := map[string][]*pb.RegionLoad{}
 	loads := map[*Fleet]serverload.Loads{}
 	for _, r := range p.regions {
@@ -119,53 +120,52 @@
 				}
 			}
 			h.TakeView(v, Everything, p.now)
-			if p.asks {
-				p.ask(r, h)
+			if p.queryRegions {
+				p.queryOtherRegions(r, h)
 			}
 		}
 	}
 }
 
-func (p *slotsPlay) ask(r *slotRegion, h *Fleet) {
+func (p *slotSimulation) queryOtherRegions(r *slotRegion, h *Fleet) {
 	for _, other := range h.RegionsToAsk(p.now) {
 		for _, o := range p.regions {
 			if o.name == other.Region {
-				h.TakeRegion(other, o.hosts[p.rnd.Intn(len(o.hosts))].RegionLoads(p.now), p.now.Add(-slotWay/2), p.now)
+				h.TakeRegion(other, o.hosts[p.rnd.Intn(len(o.hosts))].RegionLoads(p.now), p.now.Add(-slotRegionRTT/2), p.now)
 			}
 		}
 	}
 }
 
-// run plays a load on the first region for a time: chats a second. all is counted from the
-// moment counted on.
-func (p *slotsPlay) run(d time.Duration, perSecond float64) {
-	for i := range int(d / playStep) {
+// run simulates a load on the first region for a time, in requests per second.
+func (p *slotSimulation) run(d time.Duration, perSecond float64) {
+	for i := range int(d / simulationStep) {
 		if i%25 == 0 {
-			p.view()
+			p.exchangeLoads()
 		}
 		for _, r := range p.regions {
 			for _, id := range slices.Sorted(maps.Keys(r.engines)) {
-				p.work(r, r.engines[id])
+				p.stepEngine(r, r.engines[id])
 			}
 		}
-		mean := perSecond * playStep.Seconds()
+		mean := perSecond * simulationStep.Seconds()
 		n := int(mean)
 		if p.rnd.Float64() < mean-float64(n) {
 			n++
 		}
 		for range n {
-			p.tally["asked"]++
+			p.tally["requests"]++
 			p.arrive(p.regions[0], shortJob(), p.now, false)
 		}
-		p.now = p.now.Add(playStep)
+		p.now = p.now.Add(simulationStep)
 	}
 }
 
-func (p *slotsPlay) arrive(r *slotRegion, j *Job, arrived time.Time, forwarded bool) {
+func (p *slotSimulation) arrive(r *slotRegion, j *Job, arrived time.Time, forwarded bool) {
 	h := r.hosts[p.rnd.Intn(len(r.hosts))]
 	h.Arrived("llm", p.now)
 	j.Permits = func(string) bool { return true }
-	j.Forwarded, j.Target, j.Remaining = forwarded, slotTarget, p.limit-p.now.Sub(arrived)
+	j.Forwarded, j.Target, j.Remaining = forwarded, slotTarget, p.callerTimeout-p.now.Sub(arrived)
 	c := h.Choose(j, p.now)
 	if c.Refused != "" {
 		p.tally["refused"]++
@@ -175,8 +175,8 @@
 	if c.Server == nil {
 		for _, o := range p.regions {
 			if o.name == c.Host.Region {
-				p.tally["sent away"]++
-				p.arrive(o, shortJob(), arrived.Add(-slotWay), true)
+				p.tally["forwarded"]++
+				p.arrive(o, shortJob(), arrived.Add(-slotRegionRTT), true)
 			}
 		}
 		return
@@ -193,37 +193,38 @@
 	e.queue = slices.Insert(e.queue, at, q)
 }
 
-// work ends what is over, and begins what is next.
-func (p *slotsPlay) work(r *slotRegion, e *slotEngine) {
+// stepEngine ends requests that are complete or whose callers disconnect, and starts queued
+// ones.
+func (p *slotSimulation) stepEngine(r *slotRegion, e *slotEngine) {
 	var running []*slotRequest
 	for _, q := range e.queue {
-		if q.began {
+		if q.started {
 			running = append(running, q)
 		}
 	}
 	e.running = len(running)
 	e.queue = slices.DeleteFunc(e.queue, func(q *slotRequest) bool {
 		switch {
-		case q.began && !p.now.Before(q.end):
+		case q.started && !p.now.Before(q.end):
 			q.host.Ended(&q.choice, Served, slotFirst, p.now)
 			e.running--
 			return true
-		case !q.began && p.now.Sub(q.arrived) > p.limit:
-			p.tally["left"]++
+		case !q.started && p.now.Sub(q.arrived) > p.callerTimeout:
+			p.tally["disconnected"]++
 			q.host.Ended(&q.choice, CallerEnded, 0, p.now)
 			return true
 		}
 		return false
 	})
 	for _, q := range e.queue {
-		if q.began || e.running >= regionSlots {
+		if q.started || e.running >= regionSlots {
 			continue
 		}
 		e.running++
-		q.began = true
+		q.started = true
 		first := p.now.Add(slotFirst).Sub(q.arrived)
 		q.end = p.now.Add(time.Duration((0.5 + p.rnd.Float64()) * float64(slotHold)))
-		q.host.FirstByte(&q.choice, p.now.Add(slotFirst).Sub(q.choice.began))
+		q.host.FirstByte(&q.choice, p.now.Add(slotFirst).Sub(q.choice.startedAt))
 		q.host.Observed(&q.choice, len(e.queue), p.now)
 		if first <= slotTarget {
 			p.tally["in time"]++
@@ -233,29 +234,29 @@
 	}
 }
 
-// capacity is what engines can run a second.
+// capacity returns the number of requests that engines can run per second.
 func capacity(engines int) float64 {
 	return float64(engines*regionSlots) / slotHold.Seconds()
 }
 
-// TestOverloadWhileControlHostsAreCut asks one region for half more than its engines can run,
-// while the next region's engines idle and no control host tells of others. Before, hosts took
-// servers to have half of the requests that they had, and sent nothing to the other region, of
-// which no figures came.
+// TestOverloadWhileControlHostsAreCut sends one region 1.5 times the load that its engines can
+// run, while the engines of the next region are idle and the control hosts are cut off from
+// each other. In the failure, hosts had recorded half of the requests that servers had, and
+// sent nothing to the other region as no figures of it arrived.
 func TestOverloadWhileControlHostsAreCut(t *testing.T) {
 	var inTime, asked int
-	for seed := range int64(loadSeeds) {
-		p := newSlotsPlay(seed, 12, map[string]int{"west": 8, "east": 8})
-		p.asks = true
+	for seed := range int64(seedsPerLoad) {
+		p := newSlotSimulation(seed, 12, map[string]int{"west": 8, "east": 8})
+		p.queryRegions = true
 		p.run(6*time.Second, 0.7*capacity(8))
 		p.cut = true
 		p.run(2*time.Second, 0.7*capacity(8))
 		p.tally = map[string]int{}
 		p.run(6*time.Second, 1.5*capacity(8))
 		t.Log(p.tally)
-		inTime, asked = inTime+p.tally["in time"], asked+p.tally["asked"]
+		inTime, asked = inTime+p.tally["in time"], asked+p.tally["requests"]
 	}
 	if part := float64(inTime) / float64(asked); part < 0.9 {
-		t.Errorf("%.2f of what was asked was answered in time; there are engines for all", part)
+		t.Errorf("%.2f of the requests were answered in time, at least 0.9: the engines of both regions suffice for all", part)
 	}
 }
--- a/internal/core/dispatch/starts_test.go
+++ b/internal/core/dispatch/starts_test.go
@@ -10,22 +10,23 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// restartedView is a view in which s0 runs as a process with the start.
+// restartedView returns a view in which s0 runs as a process with the given start time.
 func restartedView(start int64) *pb.FleetView {
 	v := testView(1)
 	v.Servers[0].Start = start
 	return v
 }
 
-// TestRestartForgetsTheServer checks that nothing known of a server's earlier start is used
-// for its next one: cache, load, failures, cold phase, leaving, hints of other hosts.
+// TestRestartForgetsTheServer checks that no state of a server's earlier incarnation applies to
+// the next one: cache, load, failures, cold phase, leaving, and holders reported by other
+// hosts.
 func TestRestartForgetsTheServer(t *testing.T) {
 	f := newTestFleet(1)
 	v := restartedView(10)
 	v.Servers[0].Leaving = true
 	f.TakeView(v, Everything, start)
 	old := f.servers["s0"]
-	old.health.broke(start)
+	old.health.recordConnectionFailure(start)
 	old.SetCold(start.Add(time.Hour))
 	old.own.add(load{5, 100, 100})
 
@@ -35,21 +36,21 @@
 	f.TakeView(v, Everything, start)
 	s := f.servers["s0"]
 	if s == old || s.Leaving || s.underWay() != 0 || s.others.requests != 0 || start.Before(s.ColdUntil) || f.usable(s, start) != "" {
-		t.Errorf("the new start is known as %+v", s)
+		t.Errorf("the state of the new incarnation is %+v", s)
 	}
 	for _, h := range f.holders.Of(holders.Key("chain")) {
-		if f.byKey[h.Server] != nil {
-			t.Error("a hint on the earlier start leads to the new one")
+		if f.serversByKey[h.Server] != nil {
+			t.Error("a holder entry of the earlier incarnation leads to the new one")
 		}
 	}
 	f.TakeView(restartedView(10), Everything, start) // a late view
 	if f.servers["s0"] != s {
-		t.Error("a late view brought the earlier start back")
+		t.Error("a late view restored the earlier incarnation")
 	}
 }
 
-// TestRestartLosesRequestsUnderWay checks that an attempt at a process that was replaced is
-// known to be lost at once, and that its end does not touch the new one.
+// TestRestartLosesRequestsUnderWay checks that an attempt at a process that was replaced counts
+// as lost at once, and that its end does not change the state of the new process.
 func TestRestartLosesRequestsUnderWay(t *testing.T) {
 	f := newTestFleet(1)
 	f.TakeView(restartedView(10), Everything, start)
@@ -64,25 +65,26 @@
 	}
 	f.Ended(&c, Broke, 0, start)
 	if s := f.servers["s0"]; s == nil || s.underWay() != 0 || f.usable(s, start) != "" {
-		t.Errorf("the end of the lost attempt changed the new start: %+v", s)
+		t.Errorf("the end of the lost attempt changed the new incarnation: %+v", s)
 	}
 }
 
-// TestGoneStartMayReturnAsAnother checks a start that left against the next one.
-func TestGoneStartMayReturnAsAnother(t *testing.T) {
+// TestGoneServerMayReturnAsNewIncarnation checks that an incarnation that left is not used
+// again, and that the next one is.
+func TestGoneServerMayReturnAsNewIncarnation(t *testing.T) {
 	f := newTestFleet(1)
 	f.TakeView(restartedView(10), Everything, start)
 	f.MarkGone("s0", 10, start)
 	f.TakeView(restartedView(10), Everything, start)
 	if f.servers["s0"] != nil {
-		t.Error("a start that left came back")
+		t.Error("an incarnation that left is used again")
 	}
 	f.TakeView(restartedView(20), Everything, start)
 	if f.servers["s0"] == nil {
-		t.Error("the next start is not used")
+		t.Error("the next incarnation is not used")
 	}
-	f.MarkGone("s0", 10, start) // late
+	f.MarkGone("s0", 10, start) // a late message
 	if s := f.servers["s0"]; s == nil || s.Leaving {
-		t.Error("a late message on the earlier start took the next one out")
+		t.Error("a late message on the earlier incarnation removed the next one")
 	}
 }
