--- a/internal/core/dispatch/cache.go
+++ b/internal/core/dispatch/cache.go
@@ -15,9 +15,9 @@
 // partCache estimates which prompt parts are in a server's prefix cache, from the requests that
 // this host sent there. It evicts the least recently used part, as the engine does.
 type partCache struct {
-	order  *list.List // most recently used first
-	byID   map[string]*list.Element
-	tokens int
+	order       *list.List // most recently used first
+	byID        map[string]*list.Element
+	totalTokens int
 }
 
 type cachedPart struct {
@@ -30,8 +30,8 @@
 	return &partCache{order: list.New(), byID: map[string]*list.Element{}}
 }
 
-// coveredTokens returns how many tokens of the prompt the server probably has cached, assuming
-// that it keeps a part for kept after the part's last use.
+// coveredTokens returns how many tokens of the prompt the server probably has cached, if the
+// server drops a part that has not been used for the duration kept.
 func (c *partCache) coveredTokens(parts []Part, kept time.Duration, now time.Time) int {
 	sum := 0
 	for _, p := range parts {
@@ -55,12 +55,12 @@
 			continue
 		}
 		c.byID[p.ID] = c.order.PushFront(&cachedPart{p.ID, p.Tokens, now})
-		c.tokens += p.Tokens
+		c.totalTokens += p.Tokens
 	}
-	for c.tokens > capacity && c.order.Len() > 0 {
+	for c.totalTokens > capacity && c.order.Len() > 0 {
 		e := c.order.Back()
 		old := c.order.Remove(e).(*cachedPart)
 		delete(c.byID, old.id)
-		c.tokens -= old.tokens
+		c.totalTokens -= old.tokens
 	}
 }
--- a/internal/core/dispatch/choose.go
+++ b/internal/core/dispatch/choose.go
@@ -230,7 +230,7 @@
 	if f.disabled(Health) {
 		unhealthy, excess = 0, 0
 	}
-	if s.stalled(now) && !f.disabled(Silence) {
+	if s.stalled(now) && !f.disabled(StallAvoidance) {
 		unhealthy += stalledLoss
 	}
 	estimator := f.speedOf(j.Service)
--- a/internal/core/dispatch/copies.go
+++ b/internal/core/dispatch/copies.go
@@ -126,8 +126,9 @@
 }
 
 // retentionProbability returns the probability that an engine still has a part that was last
-// used age ago. It falls linearly from half of kept to one and a half times kept: eviction
-// follows the order of the last use, but the rate of writing is an estimate.
+// used age ago, if the estimated retention is kept. It falls linearly from 1 at half of kept to
+// 0 at one and a half times kept: eviction follows the order of the last use, but the rate of
+// writing is an estimate.
 func retentionProbability(age, kept time.Duration) float64 {
 	return math.Max(0, math.Min(1, 1.5-age.Seconds()/kept.Seconds()))
 }
--- a/internal/core/dispatch/copies_test.go
+++ b/internal/core/dispatch/copies_test.go
@@ -44,9 +44,9 @@
 			j := copyJob()
 			c.setup(f, j)
 			now := start.Add(c.age)
-			lacks := float64(sharedTokens(j.Parts))
-			addr, tokens := f.copySource(f.servers["s1"], j, f.locationsOf(j, now), lacks, now)
-			if addr != c.want || (addr == "") != (tokens == 0) || tokens > lacks {
+			missingTokens := float64(sharedTokens(j.Parts))
+			addr, tokens := f.copySource(f.servers["s1"], j, f.locationsOf(j, now), missingTokens, now)
+			if addr != c.want || (addr == "") != (tokens == 0) || tokens > missingTokens {
 				t.Errorf("copies %.0f tokens from %q, want %q", tokens, addr, c.want)
 			}
 		})
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -281,17 +281,17 @@
 func TestAnnouncedServersStayInUse(t *testing.T) {
 	f := New(Options{Region: "west", FailureDomain: "w1", Random: func() float64 { return 0.5 }})
 	f.TakeView(testView(2), Everything, start)
-	heard, silent := f.servers["s0"], f.servers["s1"]
-	if heard == nil || silent == nil {
-		t.Fatal("the servers are not known")
+	announced, silent := f.servers["s0"], f.servers["s1"]
+	if announced == nil || silent == nil {
+		t.Fatal("the servers of the view are missing")
 	}
 	now := start
 	for now.Sub(start) < 10*time.Second {
 		now = now.Add(time.Second)
-		f.TakeView(&pb.FleetView{HeardServers: []uint32{heard.key, 99}, HeardAges: []uint32{2}}, Scope{Fleet: true, SameHosts: true}, now)
+		f.TakeView(&pb.FleetView{HeardServers: []uint32{announced.key, 99}, HeardAges: []uint32{2}}, Scope{Fleet: true, SameHosts: true}, now)
 	}
-	if r := f.usable(heard, now); r != "" || now.Sub(heard.ConfirmedAt) != 100*time.Millisecond {
-		t.Errorf("server with announcements: %q, last announced %s ago", r, now.Sub(heard.ConfirmedAt))
+	if r := f.usable(announced, now); r != "" || now.Sub(announced.AnnouncedAt) != 100*time.Millisecond {
+		t.Errorf("server with announcements: %q, last announced %s ago", r, now.Sub(announced.AnnouncedAt))
 	}
 	if r := f.usable(silent, now); r != "silent" {
 		t.Errorf("server without announcements: %q", r)
--- a/internal/core/dispatch/fleet.go
+++ b/internal/core/dispatch/fleet.go
@@ -147,7 +147,7 @@
 	for _, m := range v.Servers {
 		f.applyServer(m, now)
 	}
-	f.applyHeardAges(v.HeardServers, v.HeardAges, now)
+	f.applyAnnouncementAges(v.HeardServers, v.HeardAges, now)
 	if now.Sub(f.lastSweepAt) >= sweepInterval {
 		f.sweep(now)
 	}
@@ -168,8 +168,8 @@
 	}
 }
 
-// applyHeardAges records the last announcements of servers that have not changed otherwise.
-func (f *Fleet) applyHeardAges(keys, ages []uint32, now time.Time) {
+// applyAnnouncementAges records the last announcements of servers that have not changed otherwise.
+func (f *Fleet) applyAnnouncementAges(keys, ages []uint32, now time.Time) {
 	for i, key := range keys {
 		if s := f.serversByKey[key]; s != nil && i < len(ages) {
 			s.recordAnnouncement(now.Add(-ms(uint64(ages[i]) * registry.AgeUnitMS)))
@@ -181,7 +181,7 @@
 func (f *Fleet) sweep(now time.Time) {
 	f.lastSweepAt = now
 	for _, s := range f.servers {
-		if s.underWay() == 0 && now.Sub(s.ConfirmedAt) > stateRetention {
+		if s.underWay() == 0 && now.Sub(s.AnnouncedAt) > stateRetention {
 			f.drop(s)
 		}
 	}
--- a/internal/core/dispatch/homes.go
+++ b/internal/core/dispatch/homes.go
@@ -179,8 +179,8 @@
 
 // coldAllowed reports whether this host may send a request to a cold server: only one host of
 // the region does, at no more than the job's rate. If hosts are connected to different control
-// hosts that cannot reach each other, two hosts may both take themselves for the sender:
-// together they use twice the rate, which is below the rate at which servers fail.
+// hosts that cannot reach each other, two hosts may both act as the sender: together they use
+// twice the rate, which is below the rate at which servers fail.
 func (f *Fleet) coldAllowed(s *Server, j *Job, now time.Time) bool {
 	if j.ColdPerSecond <= 0 {
 		return true
--- a/internal/core/dispatch/mechanisms.go
+++ b/internal/core/dispatch/mechanisms.go
@@ -32,8 +32,8 @@
 	Copies
 	// OwnDomainFirst prefers servers of the entry host's own failure domain.
 	OwnDomainFirst
-	// Silence avoids stalled servers: those that send nothing on any request.
-	Silence
+	// StallAvoidance avoids stalled servers: those that send nothing on any request.
+	StallAvoidance
 	// Health accounts for a server's failures and late answers.
 	Health
 	// OtherRegions allows sending requests to other regions.
@@ -59,7 +59,7 @@
 var mechanismNames = map[string]Mechanisms{
 	"deferral": Deferral, "learned-speeds": LearnedSpeeds, "start-waiting": StartWaiting, "pause-cost": PauseCost,
 	"busy-cost": BusyCost, "homes": Homes, "holders": Holders, "copies": Copies, "own-domain-first": OwnDomainFirst,
-	"silence": Silence, "health": Health, "other-regions": OtherRegions, "sampling": Sampling, "shares": Shares,
+	"silence": StallAvoidance, "health": Health, "other-regions": OtherRegions, "sampling": Sampling, "shares": Shares,
 	"config-from-sender": ConfigFromSender, "isolation": Isolation, "loads-observed": LoadsObserved, "regions-asked": RegionsAsked,
 }
 
--- a/internal/core/dispatch/mechanisms_test.go
+++ b/internal/core/dispatch/mechanisms_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("no names: %b, %v", none, f)
 	}
 	if _, f := ParseMechanisms([]string{"copys"}); f == nil {
-		t.Error("an unknown name is taken")
+		t.Error("an unknown name is accepted")
 	}
 }
 
@@ -41,7 +41,7 @@
 			f.TakeView(testView(2), Everything, start)
 			f.servers["s0"].health.errors = decayingMean{1, start}
 		}, func(c Choice) bool { return c.Server != nil && c.Server.ID == "s1" }},
-		{"silence", Silence, func(f *Fleet) {
+		{"silence", StallAvoidance, func(f *Fleet) {
 			f.TakeView(testView(2), Everything, start)
 			f.servers["s0"].own.requests, f.servers["s0"].progressAt = 1, start.Add(-time.Minute)
 			f.servers["s1"].own.requests, f.servers["s1"].progressAt = 2, start
--- a/internal/core/dispatch/restored_test.go
+++ b/internal/core/dispatch/restored_test.go
@@ -35,10 +35,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			restored := start.Add(10 * time.Second)
 			f := newTestFleet(1)
-			view := func(evacuated []string, revision uint64, heard time.Time, coldMS uint64, now time.Time) {
+			view := func(evacuated []string, revision uint64, announcedAt time.Time, coldMS uint64, now time.Time) {
 				v := testView(1)
 				v.Regions, v.Evacuated, v.EvacuationRevision = nil, evacuated, revision
-				v.Servers[0].AgeMs, v.Servers[0].ColdMs = uint64(now.Sub(heard).Milliseconds()), coldMS
+				v.Servers[0].AgeMs, v.Servers[0].ColdMs = uint64(now.Sub(announcedAt).Milliseconds()), coldMS
 				f.TakeView(v, Everything, now)
 			}
 			last := restored.Add(-2 * time.Second)
--- a/internal/core/dispatch/servers.go
+++ b/internal/core/dispatch/servers.go
@@ -23,7 +23,7 @@
 	// replaced is set if another process runs under the ID: requests under way are lost.
 	replaced    bool
 	starts      incarnation.History
-	ConfirmedAt time.Time // time of the server's last announcement
+	AnnouncedAt time.Time // time of the server's last announcement
 	FirstSeen   time.Time
 	ColdUntil   time.Time
 	// restoredAt is the time at which the evacuation of the server's failure domain was last
@@ -90,21 +90,21 @@
 	if s == nil {
 		return
 	}
-	heard := now.Add(-ms(m.AgeMs))
+	announcedAt := now.Add(-ms(m.AgeMs))
 	s.Service, s.Address, s.FailureDomain = m.Service, m.Address, m.FailureDomain
 	s.Slots, s.Release = int(m.Slots), m.Release
 	s.Leaving = s.Leaving || m.Leaving // never reset within one incarnation
-	if s.recordAnnouncement(heard) && m.ColdMs > 0 {
-		s.SetCold(heard.Add(ms(m.ColdMs)))
+	if s.recordAnnouncement(announcedAt) && m.ColdMs > 0 {
+		s.SetCold(announcedAt.Add(ms(m.ColdMs)))
 	}
 }
 
 // recordAnnouncement records the time of an announcement. It reports whether the announcement
 // is the latest one.
 func (s *Server) recordAnnouncement(at time.Time) bool {
-	newest := at.After(s.ConfirmedAt)
+	newest := at.After(s.AnnouncedAt)
 	if newest {
-		s.ConfirmedAt = at
+		s.AnnouncedAt = at
 	}
 	return newest
 }
@@ -206,7 +206,7 @@
 // interval later. Otherwise an engine whose announcements did not reach the control hosts would
 // receive its full load as soon as its failure domain is restored, and fail.
 func (s *Server) cold(now time.Time) bool {
-	return now.Before(s.ColdUntil) || s.restoredAt.After(s.ConfirmedAt)
+	return now.Before(s.ColdUntil) || s.restoredAt.After(s.AnnouncedAt)
 }
 
 // applyEvacuated stores the list of evacuated failure domains, unless a later revision is
@@ -227,7 +227,7 @@
 // view. As the last view counts and not the current time, the last known servers stay in use
 // while no control host can be reached.
 func (f *Fleet) missing(s *Server) bool {
-	return f.lastViewAt.Sub(s.ConfirmedAt) > f.announcementTTL()
+	return f.lastViewAt.Sub(s.AnnouncedAt) > f.announcementTTL()
 }
 
 // announcementTTL returns how long an announcement is valid on this host.
@@ -258,7 +258,7 @@
 func (f *Fleet) Sightings() (servers []quarantine.Sighting, releases map[string][]string) {
 	releases = map[string][]string{}
 	for _, s := range f.servers {
-		servers = append(servers, quarantine.Sighting{Start: quarantine.Start{ID: s.ID, Born: s.Start}, Address: s.Address, HeardAt: s.ConfirmedAt})
+		servers = append(servers, quarantine.Sighting{Start: quarantine.Start{ID: s.ID, Born: s.Start}, Address: s.Address, HeardAt: s.AnnouncedAt})
 		if !s.Leaving && !f.missing(s) && !slices.Contains(releases[s.Service], s.Release) {
 			releases[s.Service] = append(releases[s.Service], s.Release)
 		}
--- a/internal/core/dispatch/service_load_test.go
+++ b/internal/core/dispatch/service_load_test.go
@@ -39,7 +39,7 @@
 
 	requests, inTime, refused int
 	serverArrivals, rejected  int
-	forwarded                 int
+	forwards                  int
 	idleSteps                 int // steps in which one region's servers are idle while another region's queues are full
 }
 
@@ -226,7 +226,7 @@
 		}
 	}
 	if choice.Host != nil {
-		p.forwarded++
+		p.forwards++
 		c.tried[choice.Host.ID] = true
 		p.forward(h, choice, c, answered, again)
 		return
@@ -332,7 +332,7 @@
 			p.run(serviceDurationS, c.load)
 			rejected, inTime := float64(p.rejected)/float64(p.serverArrivals), float64(p.inTime)/float64(p.requests)
 			t.Logf("%d requests, %.3f in time, %d refused, %.4f rejected by servers, %.3f forwarded, %d steps idle while other regions' queues are full",
-				p.requests, inTime, p.refused, rejected, float64(p.forwarded)/float64(p.requests), p.idleSteps)
+				p.requests, inTime, p.refused, rejected, float64(p.forwards)/float64(p.requests), p.idleSteps)
 			if rejected > c.maxRejected {
 				t.Errorf("%.4f rejected by servers, at most %.4f", rejected, c.maxRejected)
 			}
--- a/internal/core/dispatch/share_test.go
+++ b/internal/core/dispatch/share_test.go
@@ -52,22 +52,22 @@
 			figure := rapid.Float64Range(0, 1000)
 			pools = append(pools, pool{string(rune('a' + i)), figure.Draw(t, "capacity"), figure.Draw(t, "arrivals"), figure.Draw(t, "waiting") / 10})
 		}
-		taken := map[string]float64{}
+		received := map[string]float64{}
 		for i, own := range pools {
 			var others []pool
 			others = append(append(others, pools[:i]...), pools[i+1:]...)
-			given := 0.0
+			sent := 0.0
 			for _, s := range excessShares(own, others) {
-				taken[s.region] += s.part * own.arrivals
-				given += s.part * own.arrivals
+				received[s.region] += s.part * own.arrivals
+				sent += s.part * own.arrivals
 			}
-			if most := math.Min(own.arrivals, math.Max(0, -own.surplus())); given > most+1e-6 {
-				t.Fatalf("%v gives %.3f", own, given)
+			if most := math.Min(own.arrivals, math.Max(0, -own.surplus())); sent > most+1e-6 {
+				t.Fatalf("%v sends away %.3f", own, sent)
 			}
 		}
 		for _, p := range pools {
-			if taken[p.region] > math.Max(0, p.surplus())+1e-6 {
-				t.Fatalf("%v takes %.3f", p, taken[p.region])
+			if received[p.region] > math.Max(0, p.surplus())+1e-6 {
+				t.Fatalf("%v receives %.3f", p, received[p.region])
 			}
 		}
 	})
--- a/internal/core/dispatch/slots_load_test.go
+++ b/internal/core/dispatch/slots_load_test.go
@@ -154,7 +154,7 @@
 			n++
 		}
 		for range n {
-			p.tally["requests"]++
+			p.tally["asked"]++
 			p.arrive(p.regions[0], shortJob(), p.now, false)
 		}
 		p.now = p.now.Add(simulationStep)
@@ -175,7 +175,7 @@
 	if c.Server == nil {
 		for _, o := range p.regions {
 			if o.name == c.Host.Region {
-				p.tally["forwarded"]++
+				p.tally["sent away"]++
 				p.arrive(o, shortJob(), arrived.Add(-slotRegionRTT), true)
 			}
 		}
@@ -210,7 +210,7 @@
 			e.running--
 			return true
 		case !q.started && p.now.Sub(q.arrived) > p.callerTimeout:
-			p.tally["disconnected"]++
+			p.tally["left"]++
 			q.host.Ended(&q.choice, CallerEnded, 0, p.now)
 			return true
 		}
@@ -254,7 +254,7 @@
 		p.tally = map[string]int{}
 		p.run(6*time.Second, 1.5*capacity(8))
 		t.Log(p.tally)
-		inTime, asked = inTime+p.tally["in time"], asked+p.tally["requests"]
+		inTime, asked = inTime+p.tally["in time"], asked+p.tally["asked"]
 	}
 	if part := float64(inTime) / float64(asked); part < 0.9 {
 		t.Errorf("%.2f of the requests were answered in time, at least 0.9: the engines of both regions suffice for all", part)
