--- a/internal/core/dispatch/copies_test.go
+++ b/internal/core/dispatch/copies_test.go
@@ -19,7 +19,7 @@
 func TestSharedPartsAreCopied(t *testing.T) {
 	cases := []struct {
 		name  string
-		setup func(*Fleet, *Job)
+		make func(*Fleet, *Job)
 		age   time.Duration
 		want  string
 	}{
@@ -42,7 +42,7 @@
 			v.Prompts = holders.Encode([]holders.Place{{Chain: holders.Key("chain"), Server: holders.Key("s0")}})
 			f.TakeView(v, Everything, start)
 			j := copyJob()
-			c.setup(f, j)
+			c.make(f, j)
 			now := start.Add(c.age)
 			missingTokens := float64(sharedTokens(j.Parts))
 			addr, tokens := f.copySource(f.servers["s1"], j, f.locationsOf(j, now), missingTokens, now)
