--- a/internal/core/dispatch/copies_test.go
+++ b/internal/core/dispatch/copies_test.go
@@ -18,10 +18,10 @@
 // the engine from which s1 would copy it.
 func TestSharedPartsAreCopied(t *testing.T) {
 	cases := []struct {
-		name  string
+		name string
 		make func(*Fleet, *Job)
-		age   time.Duration
-		want  string
+		age  time.Duration
+		want string
 	}{
 		{"held by another engine", func(*Fleet, *Job) {}, time.Second, "10.1.0.0:80"},
 		{"held too long ago", func(*Fleet, *Job) {}, 50 * time.Second, ""},
