--- a/internal/core/quarantine/exchange.go
+++ b/internal/core/quarantine/exchange.go
@@ -98,15 +98,15 @@
 // AllRecords selects every record.
 func AllRecords(*record, uint64) bool { return true }
 
-// NeededByEntryHosts selects the records that other entry hosts need: those that were cleared, and those
-// from one crash below the threshold on. With fewer crashes only the observing host treats the
-// request differently.
+// NeededByEntryHosts selects the records that other entry hosts need: those that were cleared,
+// and those from one crash below the threshold on. With fewer crashes only the observing host
+// treats the request differently.
 func NeededByEntryHosts(r *record, _ uint64) bool {
 	return r.cleared > 0 || r.crashCount() >= CrashThreshold-1
 }
 
-// Since returns at most limit wanted records that changed after a revision, in the order of their
-// last change, and the revision to continue from.
+// Since returns at most limit records that wanted selects and that changed after a revision, in
+// the order of their last change, and the revision to continue from.
 func (t *Table) Since(revision uint64, limit int, wanted RecordFilter, now time.Time) (out []*pb.QuarantineRecord, next uint64) {
 	if revision > t.revision {
 		revision = 0 // the revision belongs to an earlier process
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -1,13 +1,13 @@
 // Package quarantine detects requests that crash the backend servers that run them (poison
-// requests, or queries of death). Entry hosts record which requests were in progress at a
-// server whose process ended, exchange these records, and refuse a request that crashed
-// several servers in succession. The package does no I/O and reads no clock.
+// requests, or queries of death). Entry hosts record which requests were in flight at a server
+// that crashed, exchange these records, and refuse a request that crashed several servers in
+// succession. The package does no I/O and reads no clock.
 //
 // It protects against a caller that repeats a request which crashes every server that begins
 // to run it, through any entry host and under new request IDs, faster than servers restart.
 //
-// Invariants: a fingerprint is quarantined only while at least Crashes server processes are
-// recorded as crashed while running it, with no complete answer to it since; each process
+// Invariants: a fingerprint is quarantined only while at least CrashThreshold server processes
+// are recorded as crashed while running it, with no complete answer to it since; each process
 // counts once; the content of two tables does not depend on the order in which, or how often,
 // records were merged.
 package quarantine
@@ -21,23 +21,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// CrashThreshold is the number of server processes that must crash while running a request before it
-// is refused. One or two may crash for other reasons during a request and its repeats.
+// CrashThreshold is the number of server processes that must crash while running a request
+// before it is refused. One or two may crash for other reasons during a request and its repeats.
 const CrashThreshold = 3
 
-// singleCrashSuspicion is the probability that a request caused the one crash recorded for it:
-// about thirty requests are in progress at a server.
-const singleCrashSuspicion = 1.0 / 30
+// singleCrashProbability is the probability that a request caused the one crash recorded for it:
+// about thirty requests are in flight at a server.
+const singleCrashProbability = 1.0 / 30
 
-// CrashProbability returns the probability that a request crashes the server that runs it, given the
-// number of crashes recorded for it. After two it is taken as certain, since no other request
-// was in progress at both servers.
-func CrashProbability(ends int) float64 {
-	switch ends {
+// CrashProbability returns the probability that a request crashes the server that runs it, given
+// the number of crashes recorded for it. After two it is taken as certain, since no other
+// request was in flight at both servers.
+func CrashProbability(crashes int) float64 {
+	switch crashes {
 	case 0:
 		return 0
 	case 1:
-		return singleCrashSuspicion
+		return singleCrashProbability
 	}
 	return 1
 }
@@ -48,14 +48,16 @@
 
 // Retention times and delays.
 const (
-	// suspectRetention is how long after the last one fewer crashes than Crashes count, and how
-	// long after its last change the record of such a fingerprint, or of a cleared one, is kept.
+	// suspectRetention is how long after the last one fewer crashes than CrashThreshold count,
+	// and how long after its last change the record of such a fingerprint, or of a cleared one,
+	// is kept.
 	suspectRetention = 10 * time.Minute
 	// quarantineRetention is how long a quarantined fingerprint is kept after its last change.
 	quarantineRetention = 24 * time.Hour
-	// confirmationDelay is the time from reaching Crashes to the quarantine: a round trip to all
-	// hosts. When many servers crash at once, a request that is sent often reaches Crashes on some
-	// hosts while others have just received an answer to it, which clears the crashes.
+	// confirmationDelay is the time from reaching CrashThreshold to the quarantine: a round trip
+	// to all hosts. When many servers crash at once, a request that is sent often reaches
+	// CrashThreshold on some hosts while others have just received an answer to it, which clears
+	// the crashes.
 	confirmationDelay = 1500 * time.Millisecond
 	// trialSpacing is the mean interval between the trials of different entry hosts: long enough
 	// for the outcome of one to reach the others.
@@ -85,9 +87,9 @@
 // Verdicts.
 const (
 	Clear       Verdict = iota // no crash counts against the request
-	Suspect                    // crashed servers, but fewer than Crashes: routed to where a crash costs least
+	Suspect                    // crashed servers, but fewer than CrashThreshold: routed to where a crash costs least
 	Trial                      // quarantined, and its hold time has passed: may run once
-	Busy                       // not now: an attempt that must run alone is in progress or would be a repeat, or Crashes was reached within confirmationDelay
+	Busy                       // not now: an attempt that must run alone is in flight or would be a repeat, or CrashThreshold was reached within confirmationDelay
 	Quarantined                // refused
 )
 
@@ -105,11 +107,11 @@
 	LastCrash time.Time
 }
 
-// crash records that a server process ended while it ran the request.
+// crash records that a server process crashed while it ran the request.
 type crash struct {
 	server uint64
 	at     time.Time
-	// alive is set when the process announced itself later, so that it did not end.
+	// alive is set when the process announced itself later, so that it did not crash.
 	alive bool
 }
 
@@ -123,7 +125,7 @@
 	localRevision uint64 // revision of the last change by this host's own observations
 	changedAt     time.Time
 	replacedAt    time.Time // since when no server runs the release that crashed; zero while one does
-	running       int       // attempts in progress on this host that must run alone
+	running       int       // attempts in flight on this host that must run alone
 }
 
 // Table holds one host's records of requests that crashed servers. It is not safe for
@@ -190,7 +192,7 @@
 	}
 }
 
-// mustRunAlone reports whether the request may have only one attempt in progress on this host,
+// mustRunAlone reports whether the request may have only one attempt in flight on this host,
 // because one more crash would quarantine it or prolong its quarantine.
 func (r *record) mustRunAlone(v Verdict) bool {
 	return v == Trial || (v == Suspect && r.crashCount() == CrashThreshold-1)
@@ -235,8 +237,8 @@
 		due = r.replacedAt
 	}
 	const scale = 1 << 53
-	turn := float64(xxhash.Sum64String(t.o.Host+r.fingerprint.String())>>11) / scale
-	return !now.Before(due.Add(time.Duration(turn * float64(t.hosts) * float64(trialSpacing))))
+	position := float64(xxhash.Sum64String(t.o.Host+r.fingerprint.String())>>11) / scale
+	return !now.Before(due.Add(time.Duration(position * float64(t.hosts) * float64(trialSpacing))))
 }
 
 // crashCount returns the number of crashes counted against the request: those of processes that
@@ -251,7 +253,8 @@
 	return n
 }
 
-// thresholdReachedAt returns when the number of crashes reached Crashes; the record has that many.
+// thresholdReachedAt returns when the number of crashes reached CrashThreshold; the record has
+// that many.
 func (r *record) thresholdReachedAt() time.Time {
 	var times []time.Time
 	for _, e := range r.crashes {
@@ -274,20 +277,20 @@
 	return last
 }
 
-// Evidence states that a server process ended while it ran a request.
+// Evidence states that a server process crashed while it ran a request.
 type Evidence struct {
 	Fingerprint Fingerprint
-	// Server is the key of the process; see Start.Key.
+	// Server is the key of the process; see ServerProcess.Key.
 	Server uint64
 	// Team is the request's team, Service its service or model, and Release the version of the
 	// server's software.
 	Team, Service, Release string
 }
 
-// RecordCrash records evidence and returns the resulting judgement. It reports in counted whether the
-// evidence added a crash. Evidence against a request that was answered within answerValidity is
-// discarded: many callers may send the same request, so it may be in progress at servers whose
-// crash it did not cause.
+// RecordCrash records evidence and returns the resulting judgement. It reports in counted
+// whether the evidence added a crash. Evidence against a request that was answered within
+// answerValidity is discarded: many callers may send the same request, so it may be in flight at
+// servers whose crash it did not cause.
 func (t *Table) RecordCrash(e Evidence, now time.Time) (j Judgement, counted bool) {
 	if t.answers.contains(e.Fingerprint, now) {
 		return t.Judge(e.Fingerprint, now), false
@@ -340,8 +343,8 @@
 	return true
 }
 
-// Lift clears a fingerprint's crashes, and so ends its quarantine or suspicion. It reports whether
-// there were any.
+// Lift clears a fingerprint's crashes, which makes its verdict Clear. It reports whether there
+// were any.
 func (t *Table) Lift(f Fingerprint, now time.Time) bool {
 	r := t.get(f)
 	if r == nil || r.crashCount() == 0 {
@@ -358,8 +361,8 @@
 	t.markChangedLocally(r, now)
 }
 
-// RecordAlive records that a server process announced itself after it was recorded as ended. It returns
-// the fingerprints against which it no longer counts.
+// RecordAlive records that a server process announced itself after it was recorded as crashed.
+// It returns the fingerprints against which it no longer counts.
 func (t *Table) RecordAlive(server uint64, now time.Time) []Fingerprint {
 	var out []Fingerprint
 	for e := t.order.Front(); e != nil; {
@@ -409,7 +412,7 @@
 // of new fingerprints does not sort the table for each of them.
 const evictionDivisor = 8
 
-// evict removes records with no attempt in progress that must run alone: first those whose crashes
+// evict removes records with no attempt in flight that must run alone: first those whose crashes
 // were cleared, then those with the fewest crashes, and among equals the least recently changed.
 func (t *Table) evict() {
 	all := make([]*record, 0, len(t.records))
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -106,14 +106,14 @@
 // crashed two servers to a third one.
 func TestOwnRepeatsDoNotQuarantine(t *testing.T) {
 	f := request(1)
-	for ends, want := range []Verdict{Clear, Suspect, Busy, Quarantined} {
+	for crashes, want := range []Verdict{Clear, Suspect, Busy, Quarantined} {
 		now := start.Add(confirmationDelay)
 		table := newTable("host")
-		for s := range ends {
+		for s := range crashes {
 			table.crashAt(f, uint64(s), start)
 		}
 		if got := table.Begin(f, true, now).Verdict; got != want {
-			t.Errorf("after %d crashes: verdict %s, want %s", ends, got, want)
+			t.Errorf("after %d crashes: verdict %s, want %s", crashes, got, want)
 		}
 	}
 }
@@ -243,9 +243,9 @@
 }
 
 // TestAnyOrderOfNews draws crashes, answers and exchanges between hosts whose messages are lost,
-// duplicated, delayed and reordered. A request with fewer than Crashes crashes is never refused.
-// After a complete exchange, every host refuses the crashing request exactly if it has at least
-// Crashes crashes.
+// duplicated, delayed and reordered. A request with fewer than CrashThreshold crashes is never
+// refused. After a complete exchange, every host refuses the crashing request exactly if it has
+// at least CrashThreshold crashes.
 func TestAnyOrderOfNews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &fleetModel{now: start, crashes: map[Fingerprint]map[uint64]bool{}}
