--- a/internal/core/dispatch/choose.go
+++ b/internal/core/dispatch/choose.go
@@ -33,7 +33,8 @@
 	Tried map[string]bool
 	// Forwarded is set if an entry host of another region forwarded the request.
 	Forwarded bool
-	// ServerCrashes is the number of server processes recorded to have exited while running the request.
+	// ServerCrashes is the number of server processes recorded as crashed while running the
+	// request.
 	ServerCrashes int
 	// ColdPerSecond is the rate of requests that a cold server tolerates, per second; 0 for no
 	// limit.
@@ -56,14 +57,16 @@
 	// CopyFrom is the address of the engine from which the server copies the KV cache of shared
 	// parts of the prompt; "" for none.
 	CopyFrom string
-	// RegionDraw is the region drawn for a request for a plain service; nil for requests to engines.
+	// RegionDraw is the region drawn for a request for a plain service; nil for requests to
+	// engines.
 	RegionDraw *RegionDraw
 	// Deferred is set if the first byte is expected after the target at the chosen server. The
 	// server then queues the request behind those that can still meet their target.
 	Deferred   bool
 	Considered []Candidate
-	// Refused is the reason if the request cannot be sent anywhere, and RetryAfter the time
-	// after which the caller should retry. OutOfReach is set if no server is usable at all.
+	// Refused is the reason why the request is refused, "" if it is sent, and RetryAfter the
+	// time after which the caller should retry. NoUsableServer is set if no server is usable at
+	// all.
 	Refused        string
 	NoUsableServer bool
 	RetryAfter     time.Duration
@@ -116,7 +119,7 @@
 func (f *Fleet) Choose(j *Job, now time.Time) Choice {
 	c := Choice{job: j, loss: math.Inf(1)}
 	prefer := f.preferenceFor(j, now)
-	c.RegionDraw = prefer.turn
+	c.RegionDraw = prefer.draw
 	if j.Permits(f.o.Region) {
 		f.chooseServer(j, &c, prefer, now)
 	}
@@ -220,9 +223,9 @@
 	return crossDomainLoss
 }
 
-// serverCost returns the cost of the request at a server of the own region. reread is the part
+// serverCost returns the cost of the request at a server of the own region. repeated is the part
 // of uncovered that other requests share, in tokens.
-func (f *Fleet) serverCost(s *Server, j *Job, uncovered, reread float64, now time.Time) cost {
+func (f *Fleet) serverCost(s *Server, j *Job, uncovered, repeated float64, now time.Time) cost {
 	requests, factor := f.requestsAt(s, now), f.unreportedFactor(j.Service, now)
 	slots := float64(max(1, s.Slots))
 	unhealthy := s.health.errors.now(now) * errorLoss
@@ -243,9 +246,9 @@
 	}
 	k := enginePromptCost(engineState{
 		requests: requests, slots: slots, pendingMS: (s.own.prompt + factor*s.others.prompt) / estimator.PrefillTokensPerMS(),
-		readingShare: (s.reading.now(now) + factor*s.othersReading) / 1000,
+		prefillShare: (s.prefill.now(now) + factor*s.othersPrefill) / 1000,
 		memory:       s.own.memory + factor*s.others.memory, memoryCapacity: j.MemoryTokens, off: f.o.Off,
-	}, j, uncovered, reread, estimator)
+	}, j, uncovered, repeated, estimator)
 	return cost{k.loss + unhealthy + shortLoss*lateRisk(k.firstMS+excess, j.Target) - shortLoss*lateRisk(k.firstMS, j.Target), k.firstMS}
 }
 
@@ -310,13 +313,13 @@
 		}
 		return cost{k.loss + crossDomainLoss + interRegionRTTMS/1000*delayLoss + late, remoteMS}, 0
 	}
-	reread := f.rereadInRegion(r, j, now)
-	uncovered = j.PromptTokens - float64(sharedTokens(j.Parts)) + reread
+	repeated := f.repeatedPrefillInRegion(r, j, now)
+	uncovered = j.PromptTokens - float64(sharedTokens(j.Parts)) + repeated
 	pending := (r.prompt + r.forwarded.prompt) / r.servers / estimator.PrefillTokensPerMS()
 	k = enginePromptCost(engineState{
 		requests: requests, slots: slots, pendingMS: pending + interRegionRTTMS,
 		memory: (r.memory + r.forwarded.memory) / r.servers, memoryCapacity: j.MemoryTokens, off: f.o.Off,
-	}, j, uncovered, reread, estimator)
+	}, j, uncovered, repeated, estimator)
 	k.loss += crossRegionLoss
 	return k, uncovered
 }
--- a/internal/core/dispatch/copies.go
+++ b/internal/core/dispatch/copies.go
@@ -10,19 +10,20 @@
 
 // Parameters of shared prompt parts in the engines' KV caches.
 const (
-	// minSharedTokens is the size from which entry hosts report to each other which engine
-	// holds the shared parts of a prompt, and from which engines copy them. Reading fewer
+	// minSharedTokens is the size from which entry hosts report to each other which engine holds
+	// the shared parts of a prompt, and from which engines copy them. The prefill of fewer
 	// tokens takes no longer than one or two steps of a busy batch.
 	minSharedTokens = 400
-	// kvWrittenPerRead is the number of tokens written to an engine's KV cache per prompt token
-	// read: the tokens of the answers are stored too.
-	kvWrittenPerRead = 1.3
+	// kvWrittenPerPrefillToken is the number of tokens written to an engine's KV cache per
+	// prompt token prefilled: the tokens of the answers are stored too.
+	kvWrittenPerPrefillToken = 1.3
 	// minRetention and maxRetention bound the estimate of how long an engine keeps an unused
 	// part.
 	minRetention = 2 * time.Second
 	maxRetention = 30 * time.Second
 	// copyLoss is the loss of copying the KV cache of 1,000 tokens from another engine: traffic
-	// on the engines' network, and memory for a second copy. It is a tenth of rereadLoss.
+	// on the engines' network, and memory for a second copy. It is a tenth of
+	// repeatedPrefillLoss.
 	copyLoss = 0.06
 )
 
@@ -68,15 +69,15 @@
 // Parameters of shared prompt parts in another region.
 const (
 	// remoteUncoveredShare is the fraction of shared parts below minSharedTokens that another
-	// region probably has to read: holders of these are not reported.
+	// region probably has to prefill: holders of these are not reported.
 	remoteUncoveredShare = 0.5
 	// remoteRetention is how long another region probably keeps a chain: half of maxRetention.
 	remoteRetention = 15 * time.Second
 )
 
-// rereadInRegion returns how many shared tokens of the prompt another region probably has to
-// read.
-func (f *Fleet) rereadInRegion(r *region, j *Job, now time.Time) float64 {
+// repeatedPrefillInRegion returns how many shared tokens of the prompt another region probably
+// has to prefill again.
+func (f *Fleet) repeatedPrefillInRegion(r *region, j *Job, now time.Time) float64 {
 	shared := float64(sharedTokens(j.Parts))
 	if shared < minSharedTokens {
 		return remoteUncoveredShare * shared
@@ -105,8 +106,8 @@
 // maxUnreportedPlaces bounds the backlog of reports while no control host can be reached.
 const maxUnreportedPlaces = 512
 
-// TakeUnreportedPlaces returns and clears the record of where prompts were sent since the last call, to be
-// reported to the region's other hosts.
+// TakeUnreportedPlaces returns and clears the record of where prompts were sent since the last
+// call, to be reported to the region's other hosts.
 func (f *Fleet) TakeUnreportedPlaces() []holders.Place {
 	out := f.unreportedPlaces
 	f.unreportedPlaces = nil
@@ -117,8 +118,8 @@
 // requests leave free, divided by the rate at which tokens are written to it.
 func (f *Fleet) retention(s *Server, j *Job, now time.Time) time.Duration {
 	free := j.MemoryTokens - s.own.memory - s.others.memory
-	readingMS := s.reading.now(now) + s.othersReading // ms of reading per second
-	perSecond := readingMS * f.speedOf(j.Service).PrefillTokensPerMS() * kvWrittenPerRead
+	prefillMS := s.prefill.now(now) + s.othersPrefill // ms of prefill per second
+	perSecond := prefillMS * f.speedOf(j.Service).PrefillTokensPerMS() * kvWrittenPerPrefillToken
 	if perSecond*maxRetention.Seconds() <= free {
 		return maxRetention
 	}
@@ -169,8 +170,8 @@
 	return addr, best * missingTokens
 }
 
-// addCopy adds the cost of copying the KV cache of tokens before the rest of the prompt is
-// read.
+// addCopy adds the cost of copying the KV cache of tokens before the prefill of the rest of the
+// prompt.
 func (k *cost) addCopy(j *Job, tokens float64) {
 	if tokens > 0 {
 		k.firstMS += tokens / j.CopyTokensPerMS
--- a/internal/core/dispatch/copies_test.go
+++ b/internal/core/dispatch/copies_test.go
@@ -25,7 +25,7 @@
 	}{
 		{"held by another engine", func(*Fleet, *Job) {}, time.Second, "10.1.0.0:80"},
 		{"held too long ago", func(*Fleet, *Job) {}, 50 * time.Second, ""},
-		{"evicted, as much was read there since", func(f *Fleet, _ *Job) { f.servers["s0"].othersReading = 5000 }, 3 * time.Second, ""},
+		{"evicted, as much was read there since", func(f *Fleet, _ *Job) { f.servers["s0"].othersPrefill = 5000 }, 3 * time.Second, ""},
 		{"engines that don't copy", func(_ *Fleet, j *Job) { j.CopyTokensPerMS = 0 }, time.Second, ""},
 		{"little to copy", func(_ *Fleet, j *Job) { j.Parts = j.Parts[1:]; j.Parts[0].Tokens = 300 }, time.Second, ""},
 		{"the holder is leaving", func(f *Fleet, _ *Job) { f.servers["s0"].Leaving = true }, time.Second, ""},
@@ -54,7 +54,7 @@
 }
 
 // TestHolderIsPreferredUntilItIsBusy sends a long prompt while its holder is idle, and then
-// while the holder has a long backlog of reading: in the second case another engine copies the
+// while the holder has a long backlog of prefill: in the second case another engine copies the
 // shared parts.
 func TestHolderIsPreferredUntilItIsBusy(t *testing.T) {
 	f := newTestFleet(2)
@@ -69,7 +69,7 @@
 	f.servers["s0"].others = load{8, 40_000, 60_000}
 	c = f.Choose(copyJob(), start)
 	if c.Server.ID != "s1" || c.CopyFrom != "10.1.0.0:80" || c.UncoveredTokens > 3500 {
-		t.Errorf("busy: sent to %s, copies from %q, %.0f tokens are read", c.Server.ID, c.CopyFrom, c.UncoveredTokens)
+		t.Errorf("busy: sent to %s, copies from %q, %.0f tokens to prefill", c.Server.ID, c.CopyFrom, c.UncoveredTokens)
 	}
 }
 
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestRegionThatHoldsTheChain checks how many tokens are expected to be read again if a prompt
-// goes to another region: none if the region used the chain recently, otherwise all.
+// TestRegionThatHoldsTheChain checks how many tokens are expected to be prefilled again if a
+// prompt goes to another region: none if the region used the chain recently, otherwise all.
 func TestRegionThatHoldsTheChain(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -120,7 +120,7 @@
 			v := testView(2)
 			v.Prompts = holders.Encode(holders.InRegion(c.reportedBy, []holders.Place{{Chain: holders.Key("chain"), Server: 1}, {Chain: holders.Key("chain"), Server: 2}}))
 			f.ApplyView(v, FullScope, start)
-			got := f.rereadInRegion(f.regions[regionKey{"east", "llm"}], c.job, start.Add(c.age))
+			got := f.repeatedPrefillInRegion(f.regions[regionKey{"east", "llm"}], c.job, start.Add(c.age))
 			if got != c.want {
 				t.Errorf("%.0f tokens, want %.0f", got, c.want)
 			}
--- a/internal/core/dispatch/cost.go
+++ b/internal/core/dispatch/cost.go
@@ -8,9 +8,9 @@
 )
 
 // A candidate for a request is rated by the loss that it causes to all callers, in units of the
-// value of a short request: the lateness of the request itself, the pauses that it causes in
-// the answers already running there, and shared parts of the prompt that have to be read again.
-// An engine reads prompts in chunks between the steps of its batch; two long prompts in a row
+// value of a short request: the lateness of the request itself, the pauses that it causes in the
+// answers already running there, and shared parts of the prompt that need another prefill. An
+// engine splits prefill into chunks between the steps of its batch; two long prompts in a row
 // pause every answer there for longer than callers accept.
 
 // Parameters of the engines, from their specifications, and of the losses.
@@ -19,9 +19,9 @@
 	// number of running requests; the second includes the context of each request.
 	stepBaseMS       = 5.0
 	stepPerRequestMS = 0.03
-	// pauseRiskFromMS and pauseCertainMS are the durations of continuous reading, in ms,
-	// between which the probability that an answer pauses for too long rises from 0 to 1: an
-	// event covers five steps, and a pause of 600 ms is accepted.
+	// pauseRiskFromMS and pauseCertainMS are the durations of continuous prefill, in ms, between
+	// which the probability that an answer pauses for too long rises from 0 to 1: an event
+	// covers five steps, and a pause of 600 ms is accepted.
 	pauseRiskFromMS = 250.0
 	pauseCertainMS  = 600.0
 	// longLoss and shortLoss are the losses of a late answer to a long and to a short prompt. A
@@ -31,16 +31,16 @@
 	// pausedShare is the fraction of the answers running at an engine that a pause makes late:
 	// the others are late already or have slack.
 	pausedShare = 0.5
-	// rereadLoss is the loss of reading 1,000 tokens of a shared part again, for which the
-	// engine's other callers wait.
-	rereadLoss = 0.6
+	// repeatedPrefillLoss is the loss of another prefill of 1,000 tokens of a shared part, for
+	// which the engine's other callers wait.
+	repeatedPrefillLoss = 0.6
 	// delayLoss is the loss per second of time to the first token that is not late. It makes
 	// the faster of two otherwise equal candidates win.
 	delayLoss = 0.4
 	// busyLoss is the loss of a short request at an engine that spends all of its time on
-	// reading prompts.
+	// prefill.
 	busyLoss = 1.3
-	// rateTimeConstant is the time constant with which the rate of reading decays.
+	// rateTimeConstant is the time constant with which the rate of prefill work decays.
 	rateTimeConstant = 3 * time.Second
 )
 
@@ -53,31 +53,31 @@
 // engineState is the state of an engine on which its cost depends.
 type engineState struct {
 	requests, slots        float64
-	pendingMS              float64 // time to read the prompts being read and queued, in ms
-	readingShare           float64 // fraction of the time spent on reading
+	pendingMS              float64 // time for the prefill that is running and queued, in ms
+	prefillShare           float64 // fraction of the time spent on prefill
 	memory, memoryCapacity float64 // tokens of KV cache
 	off                    Mechanisms
 }
 
-// enginePromptCost returns the cost of a prompt of which the engine must read uncovered tokens;
-// reread of these are shared tokens that were read before for other requests.
-func enginePromptCost(e engineState, j *Job, uncovered, reread float64, estimator *speed.Estimator) cost {
-	read := uncovered / estimator.PrefillTokensPerMS()
+// enginePromptCost returns the cost of a prompt of which the engine must prefill uncovered
+// tokens; repeated of these are shared tokens that were already prefilled for other requests.
+func enginePromptCost(e engineState, j *Job, uncovered, repeated float64, estimator *speed.Estimator) cost {
+	prefillMS := uncovered / estimator.PrefillTokensPerMS()
 	step := stepBaseMS + stepPerRequestMS*e.requests
-	first := estimator.BeginMS() + e.pendingMS + read + (e.pendingMS+read)/100*step + step
+	first := estimator.BeginMS() + e.pendingMS + prefillMS + (e.pendingMS+prefillMS)/100*step + step
 	first += admissionWaitMS(e, uncovered+j.OutputTokens, estimator.HoldMS())
 	own := shortLoss
 	if j.isLong() {
 		own = longLoss
 	}
-	loss := reread/1000*rereadLoss + first/1000*delayLoss
+	loss := repeated/1000*repeatedPrefillLoss + first/1000*delayLoss
 	loss += own * lateRisk(first, j.Target)
 	if !e.off.Has(PauseCost) {
-		before, after := pauseRisk(e.pendingMS), pauseRisk(e.pendingMS+read)
+		before, after := pauseRisk(e.pendingMS), pauseRisk(e.pendingMS+prefillMS)
 		loss += (after - before) * e.requests * pausedShare * shortLoss
 	}
 	if !e.off.Has(BusyCost) {
-		loss += own / shortLoss * busyLoss * math.Min(1, e.readingShare*e.readingShare)
+		loss += own / shortLoss * busyLoss * math.Min(1, e.prefillShare*e.prefillShare)
 	}
 	return cost{loss, first}
 }
@@ -109,10 +109,10 @@
 	return wait
 }
 
-// pauseRisk returns the probability that continuous reading for readingMS pauses an answer for
+// pauseRisk returns the probability that continuous prefill for prefillMS pauses an answer for
 // too long.
-func pauseRisk(readingMS float64) float64 {
-	return math.Min(1, math.Max(0, (readingMS-pauseRiskFromMS)/(pauseCertainMS-pauseRiskFromMS)))
+func pauseRisk(prefillMS float64) float64 {
+	return math.Min(1, math.Max(0, (prefillMS-pauseRiskFromMS)/(pauseCertainMS-pauseRiskFromMS)))
 }
 
 // lateRisk returns the probability that a first token expected after ms is late. It rises
@@ -125,7 +125,7 @@
 	return math.Min(1, math.Max(0, (ms/t-0.6)/0.8))
 }
 
-// rate is an exponentially decaying average of incoming work, in ms of reading per second.
+// rate is an exponentially decaying average of incoming work, in ms of prefill per second.
 type rate struct {
 	value float64
 	at    time.Time
--- a/internal/core/dispatch/crashing_load_test.go
+++ b/internal/core/dispatch/crashing_load_test.go
@@ -274,7 +274,7 @@
 
 // firstCrashAt is the time from which engines crash without a crashing request: some requests
 // have been answered by then. Without any answer, a request that many callers send cannot be
-// told from one that crashes servers.
+// distinguished from one that crashes servers.
 const firstCrashAt = 4 * time.Second
 
 // popularRequests is the number of distinct requests that many callers send.
@@ -309,7 +309,7 @@
 }
 
 // runsAfterThirdCrash returns how often the crashing request started to run more than d after
-// crash number quarantine.Crashes, the third one.
+// crash number quarantine.CrashThreshold, the third one.
 func (p *crashSimulation) runsAfterThirdCrash(d time.Duration) int {
 	if len(p.crashTimes) < quarantine.CrashThreshold {
 		return 0
@@ -403,7 +403,7 @@
 		t.Errorf("another request goes to %+v, beside the suspect", other.Server)
 	}
 	f.Ended(&c, Served, time.Millisecond, start)
-	if left := f.servers["s1"].suspicion; left != 0 {
+	if left := f.servers["s1"].expectedCrashes; left != 0 {
 		t.Errorf("%g suspects are left at the server", left)
 	}
 }
--- a/internal/core/dispatch/defer_test.go
+++ b/internal/core/dispatch/defer_test.go
@@ -9,8 +9,8 @@
 	"github.com/sesamefork/sesamefork/internal/core/serverload"
 )
 
-// busyFleet returns a fleet with one engine of 16 slots that has 60 requests of other hosts
-// under way.
+// busyFleet returns a fleet with one engine of 16 slots that has 60 requests of other hosts in
+// flight.
 func busyFleet() *Fleet {
 	f := newTestFleet(1)
 	v := testView(1)
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -240,7 +240,7 @@
 }
 
 // TestSharedPartsStayTogether sends prompts of a few chains under light load: each chain must
-// stay at one or two engines, so that its shared parts are not read by all of them.
+// stay at one or two engines, so that not all of them prefill its shared parts.
 func TestSharedPartsStayTogether(t *testing.T) {
 	f := newTestFleet(4)
 	at := map[string]map[string]bool{}
@@ -260,7 +260,7 @@
 	}
 	for chain, servers := range at {
 		if len(servers) > 2 {
-			t.Errorf("%s was read by %d engines", chain, len(servers))
+			t.Errorf("%s was prefilled by %d engines", chain, len(servers))
 		}
 	}
 }
--- a/internal/core/dispatch/fleet.go
+++ b/internal/core/dispatch/fleet.go
@@ -23,7 +23,7 @@
 	Host, Region, FailureDomain string
 	// Random returns a random number in [0, 1).
 	Random func() float64
-	// PrefillRate is the rate at which engines are assumed to read prompts until it has been
+	// PrefillRate is the rate at which engines are assumed to prefill prompts until it has been
 	// measured, in tokens per ms; 0 for the default of package speed.
 	PrefillRate float64
 	// AnnounceEvery is the interval at which servers announce themselves (default 1.2 s).
@@ -108,10 +108,10 @@
 	// The figures arrive three times a second and are 0.4 s old by then, so older ones mean
 	// that the network path there is probably cut. A request that is sent into a cut is lost.
 	maxRegionAge = 1200 * time.Millisecond
-	// stalledAfter is the time after which a server that has requests under way and sends
+	// stalledAfter is the time after which a server that has requests in flight and sends
 	// nothing at all counts as stalled and other servers are preferred: ten times the duration
-	// of a slow step. The server may also just be full, so it is neither excluded nor given up
-	// for that.
+	// of a slow step. The server may just be full, so this alone neither excludes it nor makes
+	// its requests count as lost.
 	stalledAfter = time.Second
 	// stateRetention is how long the state of a server that has stopped announcing itself is
 	// kept.
@@ -132,8 +132,8 @@
 	Others serverload.Loads
 	// Fleet selects the entry hosts and the loads of other regions.
 	Fleet bool
-	// SameHosts is set if the view omits the entry hosts because they have not changed since
-	// the view before.
+	// SameHosts is set if the view omits the entry hosts because they have not changed since the
+	// previous view.
 	SameHosts bool
 }
 
@@ -181,7 +181,7 @@
 func (f *Fleet) sweep(now time.Time) {
 	f.lastSweepAt = now
 	for _, s := range f.servers {
-		if s.underWay() == 0 && now.Sub(s.AnnouncedAt) > stateRetention {
+		if s.inFlight() == 0 && now.Sub(s.AnnouncedAt) > stateRetention {
 			f.drop(s)
 		}
 	}
@@ -201,7 +201,7 @@
 	for _, s := range f.servers {
 		l := loads[s.key]
 		s.others = load{int(l.Requests), float64(l.PromptTokens), float64(l.MemoryTokens)}
-		s.othersReading, s.othersDeferred = float64(l.PrefillMS), int(l.Deferred)
+		s.othersPrefill, s.othersDeferred = float64(l.PrefillMS), int(l.Deferred)
 	}
 	f.applyArrivals(loads, now)
 }
@@ -283,9 +283,9 @@
 
 // Speed holds the estimated speeds of a service's servers.
 type Speed struct {
-	TokensPerMS float64 `json:"tokens_per_ms"` // rate at which an engine reads prompts
-	BeginMS     float64 `json:"begin_ms"`      // time to the first event of an answer, without reading the prompt
-	AnswerMS    float64 `json:"answer_ms"`     // time to answer of a plain service with free slots
+	TokensPerMS float64 `json:"tokens_per_ms"` // prefill rate of an engine
+	BeginMS     float64 `json:"begin_ms"`      // time to the first event of an answer, without the prefill
+	AnswerMS    float64 `json:"answer_ms"`     // answer time of a plain service with free slots
 	HoldMS      float64 `json:"hold_ms"`       // time for which a request holds a slot of an engine
 	Samples     int     `json:"samples"`       // number of long prompts whose median is the rate
 }
@@ -328,9 +328,9 @@
 	out := serverload.Loads{}
 	f.addArrivals(out, now)
 	for _, s := range f.servers {
-		if reading := s.reading.now(now); s.own.requests > 0 || s.deferred > 0 || reading >= 1 {
+		if prefill := s.prefill.now(now); s.own.requests > 0 || s.deferred > 0 || prefill >= 1 {
 			out[s.key] = serverload.Load{
-				Deferred: uint32(s.deferred), Requests: uint32(s.own.requests), PrefillMS: uint32(reading),
+				Deferred: uint32(s.deferred), Requests: uint32(s.own.requests), PrefillMS: uint32(prefill),
 				PromptTokens: uint32(math.Max(0, s.own.prompt)), MemoryTokens: uint32(math.Max(0, s.own.memory)),
 			}
 		}
--- a/internal/core/dispatch/homes.go
+++ b/internal/core/dispatch/homes.go
@@ -20,10 +20,10 @@
 var homeCoverage = []float64{1, 0.6, 0.3}
 
 // maxHomeUse is the fraction of its time that a home may spend on the requests of one chain
-// before the chain gets another home. An engine that spends half of its time on reading answers
-// late, and a home serves other chains too. Each further home reads the shared parts anew, but
-// if every chain had a single home, a load with few hot chains would overload one engine with
-// reading (TestLoadOnARegion).
+// before the chain gets another home. An engine that spends half of its time on prefill answers
+// late, and a home serves other chains too. Each further home repeats the prefill of the shared
+// parts, but if every chain had a single home, a load with few hot chains would overload one
+// engine with prefill (TestLoadOnARegion).
 const maxHomeUse = 0.35
 
 // chainTimeConstant is the time constant of a chain's request rate: it covers several requests
@@ -70,13 +70,14 @@
 // region's other hosts receives as many requests for it as this one.
 func (f *Fleet) homeCount(j *Job, key string, now time.Time) int {
 	perSecond := f.chainRates[key].now(now) / chainTimeConstant.Seconds() * float64(f.Neighbors())
-	readMS := (j.PromptTokens - float64(sharedTokens(j.Parts))) / f.speedOf(j.Service).PrefillTokensPerMS()
-	return 1 + int(perSecond*readMS/1000/maxHomeUse)
+	prefillMS := (j.PromptTokens - float64(sharedTokens(j.Parts))) / f.speedOf(j.Service).PrefillTokensPerMS()
+	return 1 + int(perSecond*prefillMS/1000/maxHomeUse)
 }
 
 // homesOf returns the IDs of the servers to which all hosts of the region send the job's shared
-// parts, most preferred first; the first one is used while it is not busier than the next. They
-// are chosen by rendezvous hashing of the longest shared chain.
+// parts, most preferred first. A later home is chosen only if the earlier ones are busier, as
+// its expected coverage is lower (homeCoverage). The homes are chosen by rendezvous hashing of
+// the longest shared chain.
 func (f *Fleet) homesOf(j *Job, now time.Time) []string {
 	key := sharedChainID(j.Parts)
 	if key == "" {
--- a/internal/core/dispatch/isolation.go
+++ b/internal/core/dispatch/isolation.go
@@ -10,15 +10,15 @@
 // answers. Isolation therefore sends a request under which servers have crashed to a server
 // with few other requests, and sends other requests elsewhere while it runs.
 
-// crashLoss returns the expected loss if the server crashes: the answers of all other requests
-// there if this request crashes it, and this request's own answer if a suspected request there
-// does.
+// crashLoss returns the expected loss from a crash of the server: the answers of all other
+// requests there if this request crashes it, and this request's own answer if a suspected
+// request there does.
 func (f *Fleet) crashLoss(s *Server, j *Job) float64 {
 	if f.disabled(Isolation) {
 		return 0
 	}
 	others := float64(s.own.requests + s.others.requests + s.deferred + s.othersDeferred)
-	return errorLoss * (quarantine.CrashProbability(j.ServerCrashes)*others + math.Min(1, s.suspicion))
+	return errorLoss * (quarantine.CrashProbability(j.ServerCrashes)*others + math.Min(1, s.expectedCrashes))
 }
 
 // regionCrashLoss returns the expected loss at an average server of another region if a
--- a/internal/core/dispatch/load_test.go
+++ b/internal/core/dispatch/load_test.go
@@ -13,20 +13,20 @@
 )
 
 // simulatedRegion simulates a region: entry hosts that choose on load figures a quarter of a
-// second old, and engines that read one prompt after another.
+// second old, and engines that prefill one prompt after another.
 type simulatedRegion struct {
-	rnd     *rand.Rand
-	hosts   []*Fleet
-	backlog map[string]float64 // reading queued at each engine, in ms
-	cached  map[string]map[string]bool
-	now     time.Time
-	waits   []float64 // time from arrival to the end of reading, in ms
-	long    []float64 // the same for long prompts
-	paused  int       // short requests that started behind more than 600 ms of reading
-	short   int
-	reread  int // shared tokens read again
-	read    map[string]bool
-	chains  int
+	rnd            *rand.Rand
+	hosts          []*Fleet
+	backlog        map[string]float64 // prefill queued at each engine, in ms
+	cached         map[string]map[string]bool
+	now            time.Time
+	waits          []float64 // time from arrival to the end of prefill, in ms
+	long           []float64 // the same for long prompts
+	paused         int       // short requests that started behind more than 600 ms of prefill
+	short          int
+	repeatedTokens int // shared tokens prefilled again
+	prefilled      map[string]bool
+	chains         int
 	// copyPerMS is the rate at which engines copy KV cache from each other, in tokens per ms; 0
 	// for never.
 	copyPerMS float64
@@ -47,7 +47,7 @@
 const simulationStep = 10 * time.Millisecond
 
 func newSimulatedRegion(seed int64, hosts, engines, chains int) *simulatedRegion {
-	p := &simulatedRegion{rnd: rand.New(rand.NewSource(seed)), backlog: map[string]float64{}, cached: map[string]map[string]bool{}, now: start, read: map[string]bool{}, chains: chains}
+	p := &simulatedRegion{rnd: rand.New(rand.NewSource(seed)), backlog: map[string]float64{}, cached: map[string]map[string]bool{}, now: start, prefilled: map[string]bool{}, chains: chains}
 	p.addHosts(hosts)
 	for i := range engines {
 		p.backlog[fmt.Sprintf("s%d", i)] = 0
@@ -94,7 +94,7 @@
 	}
 }
 
-// activeRequest is a request that is under way.
+// activeRequest is a request that is in flight.
 type activeRequest struct {
 	host   *Fleet
 	choice Choice
@@ -173,10 +173,10 @@
 		}
 		tokens += part.Tokens
 		if i < len(j.Parts)-1 {
-			if p.read[part.ID] {
-				p.reread += part.Tokens
+			if p.prefilled[part.ID] {
+				p.repeatedTokens += part.Tokens
 			}
-			p.cached[id][part.ID], p.read[part.ID] = true, true
+			p.cached[id][part.ID], p.prefilled[part.ID] = true, true
 		}
 	}
 	if !long {
@@ -209,19 +209,20 @@
 // single run of 20 s differs by a third from seed to seed.
 const seedsPerLoad = 3
 
-// TestLoadOnARegion simulates loads of a region and checks the time until a prompt is read, the
-// short answers that a pause makes late, and the shared parts that are read again.
+// TestLoadOnARegion simulates loads of a region and checks the time until the prefill of a
+// prompt is complete, the short answers that a pause makes late, and the shared parts that are
+// prefilled again.
 func TestLoadOnARegion(t *testing.T) {
 	cases := []struct {
-		name           string
-		hosts, engines int
-		chains         int
-		copyPerMS      float64
-		seconds        int
-		shorts, longs  float64 // per second
-		p99, longP95   float64 // ms, at most
-		paused         float64 // fraction of the short requests, at most
-		rereadPerLong  float64 // tokens, at most
+		name            string
+		hosts, engines  int
+		chains          int
+		copyPerMS       float64
+		seconds         int
+		shorts, longs   float64 // per second
+		p99, longP95    float64 // ms, at most
+		paused          float64 // fraction of the short requests, at most
+		repeatedPerLong float64 // tokens, at most
 	}{
 		{"few engines, quiet", 3, 4, 20, 0, 20, 40, 6, 420, 400, 0.005, 1100},
 		{"few engines, at three quarters of what they can read", 3, 4, 20, 0, 60, 60, 24, 600, 500, 0.01, 700},
@@ -231,7 +232,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var p99, longP95, paused, reread float64
+			var p99, longP95, paused, repeated float64
 			for seed := range int64(seedsPerLoad) {
 				p := newSimulatedRegion(seed, c.hosts, c.engines, c.chains)
 				p.copyPerMS = c.copyPerMS
@@ -239,9 +240,9 @@
 				p99 += quantile(p.waits, 0.99) / seedsPerLoad
 				longP95 += quantile(p.long, 0.95) / seedsPerLoad
 				paused += float64(p.paused) / float64(p.short) / seedsPerLoad
-				reread += float64(p.reread) / float64(len(p.long)) / seedsPerLoad
+				repeated += float64(p.repeatedTokens) / float64(len(p.long)) / seedsPerLoad
 			}
-			t.Logf("p99 %.0f ms, long p95 %.0f ms, paused %.4f, read again %.0f tokens a long prompt", p99, longP95, paused, reread)
+			t.Logf("p99 %.0f ms, long p95 %.0f ms, paused %.4f, prefilled again %.0f tokens per long prompt", p99, longP95, paused, repeated)
 			if p99 > c.p99 {
 				t.Errorf("p99 %.0f ms, at most %.0f", p99, c.p99)
 			}
@@ -251,8 +252,8 @@
 			if paused > c.paused {
 				t.Errorf("%.3f of the short answers paused, at most %.3f", paused, c.paused)
 			}
-			if reread > c.rereadPerLong {
-				t.Errorf("%.0f shared tokens read again a long prompt, at most %.0f", reread, c.rereadPerLong)
+			if repeated > c.repeatedPerLong {
+				t.Errorf("%.0f shared tokens prefilled again per long prompt, at most %.0f", repeated, c.repeatedPerLong)
 			}
 		})
 	}
--- a/internal/core/dispatch/lost_test.go
+++ b/internal/core/dispatch/lost_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLost checks that a server with a request under way is lost only if it has sent nothing
-// for some time and its announcements have also expired at the last view. The age at which
+// TestLost checks that a server with a request in flight is lost only if it has sent nothing for
+// some time and its announcements have also expired at the last view. The age at which
 // announcements expire depends on the interval of the servers' announcements.
 func TestLost(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/core/dispatch/mechanisms.go
+++ b/internal/core/dispatch/mechanisms.go
@@ -22,7 +22,7 @@
 	StartWaiting
 	// PauseCost accounts for the pauses that a prompt causes in other answers.
 	PauseCost
-	// BusyCost accounts for the fraction of its time that an engine spends on reading prompts.
+	// BusyCost accounts for the fraction of its time that an engine spends on prefill.
 	BusyCost
 	// Homes makes all hosts send a chain of shared parts to the same engines.
 	Homes
--- a/internal/core/dispatch/observed.go
+++ b/internal/core/dispatch/observed.go
@@ -37,7 +37,7 @@
 	o.reported, o.recorded, o.at = o.reported*fade+reported, o.recorded*fade+recorded, now
 }
 
-// unreportedFactor returns the factor by which other hosts have more requests under way than is
+// unreportedFactor returns the factor by which other hosts have more requests in flight than are
 // recorded; at least 1.
 func (o *loadComparison) unreportedFactor(now time.Time) float64 {
 	if o == nil {
@@ -47,8 +47,8 @@
 	return min(maxUnreportedFactor, max(1, (o.reported*fade+comparisonPrior)/(o.recorded*fade+comparisonPrior)))
 }
 
-// RecordReportedRequests records the number of requests, running and waiting, that the server of an attempt
-// reported with the head of its answer.
+// RecordReportedRequests records the number of requests, running and waiting, that the server of
+// an attempt reported with the head of its answer.
 func (f *Fleet) RecordReportedRequests(c *Choice, requests int, now time.Time) {
 	s := c.Server
 	if s == nil || f.disabled(LoadsObserved) {
@@ -59,7 +59,7 @@
 		o = &loadComparison{}
 		f.comparisons[s.Service] = o
 	}
-	o.add(math.Max(0, float64(requests-s.underWay())), float64(s.others.requests+s.othersDeferred), now)
+	o.add(math.Max(0, float64(requests-s.inFlight())), float64(s.others.requests+s.othersDeferred), now)
 }
 
 // requestsAt returns the estimated number of requests at a server of the own region.
--- a/internal/core/dispatch/outcome.go
+++ b/internal/core/dispatch/outcome.go
@@ -18,7 +18,7 @@
 		}
 		return
 	}
-	if c.Server.underWay() == 0 {
+	if c.Server.inFlight() == 0 {
 		c.Server.progressAt = now
 	}
 	if c.Deferred {
@@ -30,17 +30,17 @@
 		f.recordChainRequest(sharedChainID(c.job.Parts), now)
 		f.recordHolder(c, now)
 		c.Server.cache.recordUse(c.job.Parts, int(c.job.MemoryTokens), now)
-		c.Server.reading.add(c.UncoveredTokens/f.speedOf(c.job.Service).PrefillTokensPerMS(), now)
+		c.Server.prefill.add(c.UncoveredTokens/f.speedOf(c.job.Service).PrefillTokensPerMS(), now)
 	}
-	c.Server.suspicion += quarantine.CrashProbability(c.job.ServerCrashes)
+	c.Server.expectedCrashes += quarantine.CrashProbability(c.job.ServerCrashes)
 	if c.Server.cold(now) {
 		c.Server.coldSends = append(c.Server.coldSends, now)
 	}
 }
 
-// FirstByte records that the first byte of the answer has arrived, so the prompt has been read.
-// took is the time since the request was sent; 0 if it must not count as a sample of the
-// server's speed.
+// FirstByte records that the first byte of the answer has arrived, so the prefill of the prompt
+// is complete. took is the time since the request was sent; 0 if it must not count as a sample
+// of the server's speed.
 func (f *Fleet) FirstByte(c *Choice, took time.Duration) {
 	if c.Server != nil {
 		f.updateSpeed(c, took)
@@ -54,8 +54,8 @@
 }
 
 // updateSpeed updates the speed estimates of the service from the time to the first byte. It
-// ignores requests with a copied part, which is neither read nor available at no cost, and
-// deferred requests, which wait for others.
+// ignores requests with a copied part, which needs no prefill but is not available at no cost,
+// and deferred requests, which wait for others.
 func (f *Fleet) updateSpeed(c *Choice, took time.Duration) {
 	ms := float64(took) / float64(time.Millisecond)
 	e := f.speedOf(c.job.Service)
@@ -81,9 +81,9 @@
 	}
 }
 
-// Lost reports whether the attempt's server is lost. It is if it has sent nothing on any
-// request for stalledAfter and has also left or missed its announcements, or if another process
-// runs under its ID, so that its own has exited.
+// Lost reports whether the attempt's server is lost: the server has sent nothing on any request
+// for stalledAfter and has also left or missed its announcements, or another process runs under
+// its ID, so the process of the attempt has exited.
 func (f *Fleet) Lost(c *Choice, now time.Time) bool {
 	s := c.Server
 	switch {
@@ -91,7 +91,7 @@
 		return false
 	case s.replaced:
 		return true
-	case s.underWay() == 0 || !s.silent(now):
+	case s.inFlight() == 0 || !s.silent(now):
 		return false
 	}
 	return f.IsGone(s) || f.missing(s)
@@ -122,7 +122,7 @@
 		return
 	}
 	s := c.Server
-	s.suspicion = math.Max(0, s.suspicion-quarantine.CrashProbability(c.job.ServerCrashes))
+	s.expectedCrashes = math.Max(0, s.expectedCrashes-quarantine.CrashProbability(c.job.ServerCrashes))
 	if c.Deferred && !c.firstByteSeen {
 		s.deferred--
 	} else {
--- a/internal/core/dispatch/regions.go
+++ b/internal/core/dispatch/regions.go
@@ -84,8 +84,8 @@
 	return at
 }
 
-// ApplyRegionLoads applies the loads that an entry host of another region reported of that region, as
-// of a time; nil loads mean that the host did not answer.
+// ApplyRegionLoads applies the loads that an entry host of another region reported of that
+// region, as of a time; nil loads mean that the host did not answer.
 func (f *Fleet) ApplyRegionLoads(h *Host, loads []*pb.RegionLoad, at, now time.Time) {
 	if loads == nil {
 		h.suspectUntil = now.Add(suspectTimeout)
--- a/internal/core/dispatch/servers.go
+++ b/internal/core/dispatch/servers.go
@@ -10,7 +10,8 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Server is one incarnation of a backend server of the own region: one process under its ID.
+// Server is one incarnation of a backend server of the entry host's region: one process under
+// its ID.
 type Server struct {
 	ID, Service, Address, FailureDomain string
 	// Start is the time at which the server's process started, in Unix ms by the server's
@@ -20,7 +21,7 @@
 	Leaving bool
 	// Release is the version of the server's software; "" if it was not reported.
 	Release string
-	// replaced is set if another process runs under the ID: requests under way are lost.
+	// replaced is set if another process runs under the ID: requests in flight are lost.
 	replaced    bool
 	starts      incarnation.History
 	AnnouncedAt time.Time // time of the server's last announcement
@@ -30,15 +31,16 @@
 	// withdrawn.
 	restoredAt time.Time
 
-	own    load // requests of this host under way
+	own    load // requests of this host in flight
 	others load // those of the region's other entry hosts, as last reported
-	// othersReading is the reading caused by the region's other entry hosts, in ms per second.
-	othersReading float64
+	// othersPrefill is the prefill work sent by the region's other entry hosts, in ms per
+	// second.
+	othersPrefill float64
 	// deferred and othersDeferred are the deferred requests, which wait behind all others, of
 	// this host and of the region's other ones.
 	deferred, othersDeferred int
 	health                   health
-	reading                  rate // reading of prompts sent by this host, in ms per second
+	prefill                  rate // prefill work sent by this host, in ms per second
 	cache                    *partCache
 	key                      uint32      // identifies the incarnation in messages between hosts
 	coldSends                []time.Time // times of this host's requests in the last second, while the server is cold
@@ -48,30 +50,30 @@
 	// estimatedRequests is the number of requests at the server, as estimated for the last
 	// choice.
 	estimatedRequests float64
-	// suspicion is the expected number of this host's requests at the server that will crash
+	// expectedCrashes is the expected number of this host's requests at the server that will crash
 	// it.
-	suspicion float64
+	expectedCrashes float64
 }
 
 // Replaced reports whether the server's process has certainly exited, because another one runs
 // under its ID.
 func (s *Server) Replaced() bool { return s.replaced }
 
-// stalled reports whether the server has sent nothing for stalledAfter though requests are
-// under way. It may be down, or the network path to it cut without its connections being
-// closed. Deferred requests are not counted, as they wait long at a healthy server.
+// stalled reports whether the server has sent nothing for stalledAfter though requests are in
+// flight. It may be down, or the network path to it cut without its connections being closed.
+// Deferred requests are not counted, as they wait long at a healthy server.
 func (s *Server) stalled(now time.Time) bool { return s.own.requests > 0 && s.silent(now) }
 
 // silent reports whether this host has received nothing from the server for stalledAfter.
 func (s *Server) silent(now time.Time) bool { return now.Sub(s.progressAt) > stalledAfter }
 
-// underWay returns the number of this host's requests at the server, deferred ones included.
-func (s *Server) underWay() int { return s.own.requests + s.deferred }
+// inFlight returns the number of this host's requests at the server, deferred ones included.
+func (s *Server) inFlight() int { return s.own.requests + s.deferred }
 
-// load is the requests under way at a server.
+// load is the requests in flight at a server.
 type load struct {
 	requests int
-	prompt   float64 // prompt tokens not yet read
+	prompt   float64 // prompt tokens that await prefill
 	memory   float64 // tokens of KV cache in use
 }
 
@@ -171,7 +173,7 @@
 	f.departures[id] = d
 	if s != nil {
 		s.Leaving = true
-		if s.underWay() == 0 {
+		if s.inFlight() == 0 {
 			f.drop(s)
 		}
 	}
@@ -253,8 +255,9 @@
 	return ""
 }
 
-// Sightings returns the known servers, and the releases that each service's servers run,
-// leaving out servers that are leaving or have missed their announcements.
+// Sightings returns the last announcement of each recorded server, and the releases that each
+// service's servers run. The releases leave out servers that are leaving or have missed their
+// announcements.
 func (f *Fleet) Sightings() (servers []quarantine.Announcement, releases map[string][]string) {
 	releases = map[string][]string{}
 	for _, s := range f.servers {
--- a/internal/core/dispatch/service_load_test.go
+++ b/internal/core/dispatch/service_load_test.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// callerRequest is a request of a caller that is under way.
+// callerRequest is a request of a caller that is in flight.
 type callerRequest struct {
 	arrived  time.Time
 	tried    map[string]bool
--- a/internal/core/dispatch/share.go
+++ b/internal/core/dispatch/share.go
@@ -20,8 +20,8 @@
 	// usableCapacity is the fraction of their capacity up to which servers are given requests:
 	// closer to it queues grow without bound.
 	usableCapacity = 0.95
-	// queueDrainTime is the time in which queued requests should be worked off. It is longer
-	// than the age of the figures, so that the hosts together do not overshoot.
+	// queueDrainTime is the time in which queued requests should be processed. It is longer than
+	// the age of the figures, so that the hosts together do not overshoot.
 	queueDrainTime = 500 * time.Millisecond
 	// maxLoadAge is the maximum age of the load figures of the own region's servers.
 	maxLoadAge = 300 * time.Millisecond
@@ -93,7 +93,7 @@
 // preference is the result of the random draw for one request. The zero preference, of a
 // request that is not distributed by shares, adds no loss to any candidate.
 type preference struct {
-	turn *RegionDraw     // nil in the zero preference
+	draw *RegionDraw     // nil in the zero preference
 	rank map[*Server]int // position of each server of the own region, most preferred first
 }
 
@@ -127,7 +127,7 @@
 
 // regionLoss returns the loss of sending the request to a region, which is 0 for the drawn one.
 func (p preference) regionLoss(region string) float64 {
-	if p.turn == nil || p.turn.Region == region {
+	if p.draw == nil || p.draw.Region == region {
 		return 0
 	}
 	return unassignedRegionLoss
--- a/internal/core/dispatch/starts_test.go
+++ b/internal/core/dispatch/starts_test.go
@@ -35,7 +35,7 @@
 	v.Prompts = holders.Encode([]holders.Place{{Chain: holders.Key("chain"), Server: incarnation.Key("s0", 10)}})
 	f.ApplyView(v, FullScope, start)
 	s := f.servers["s0"]
-	if s == old || s.Leaving || s.underWay() != 0 || s.others.requests != 0 || start.Before(s.ColdUntil) || f.usable(s, start) != "" {
+	if s == old || s.Leaving || s.inFlight() != 0 || s.others.requests != 0 || start.Before(s.ColdUntil) || f.usable(s, start) != "" {
 		t.Errorf("the state of the new incarnation is %+v", s)
 	}
 	for _, h := range f.holders.Holders(holders.Key("chain")) {
@@ -64,7 +64,7 @@
 		t.Error("not lost though another process runs under the ID")
 	}
 	f.Ended(&c, ConnectionFailed, 0, start)
-	if s := f.servers["s0"]; s == nil || s.underWay() != 0 || f.usable(s, start) != "" {
+	if s := f.servers["s0"]; s == nil || s.inFlight() != 0 || f.usable(s, start) != "" {
 		t.Errorf("the end of the lost attempt changed the new incarnation: %+v", s)
 	}
 }
