--- a/internal/core/controlhosts/choice.go
+++ b/internal/core/controlhosts/choice.go
@@ -12,10 +12,11 @@
 type Candidate struct {
 	Address string
 	Domain  string // failure domain; "" if unknown
-	// ReportedLive reports whether the control hosts list it as one that they receive messages from.
+	// ReportedLive reports whether the control hosts list it as live: they receive messages from
+	// it.
 	ReportedLive bool
-	// AvoidUntil is the time until which other candidates of its failure domain are
-	// preferred; see Avoid.
+	// AvoidUntil is the time until which other candidates of its failure domain are preferred;
+	// see AvoidDuration.
 	AvoidUntil time.Time
 }
 
@@ -24,12 +25,12 @@
 // live if it is lost.
 const AvoidDuration = 2 * time.Second
 
-// Choose returns the candidates with which an entry host synchronizes, sorted by address: one
-// of each failure domain, and all whose failure domain is unknown. The choice within a failure
+// Choose returns the candidates with which an entry host synchronizes, sorted by address: one of
+// each failure domain, and all whose failure domain is unknown. The choice within a failure
 // domain is by rendezvous hashing of the entry host's ID, so its control hosts share the entry
 // hosts evenly: the load of a control host and the messages of an entry host do not grow with
-// the number of control hosts. The choice changes only when the chosen control host is
-// avoided, is no longer named, or becomes available again.
+// the number of control hosts. The choice changes only when the chosen control host is avoided,
+// is no longer reported live, or becomes available again.
 func Choose(host string, list []Candidate, now time.Time) []Candidate {
 	var out []Candidate
 	byDomain := map[string]int{} // index in out
--- a/internal/core/controlhosts/controlhosts.go
+++ b/internal/core/controlhosts/controlhosts.go
@@ -29,22 +29,22 @@
 	// leave too little time to query a farther control host before the deadline by which an
 	// accepted change must be in force.
 	MaxStaleness = 2 * time.Second
-	// ContactTimeout is how long control hosts may leave requests unanswered before farther ones are
-	// queried. It allows for six sync requests, or for reopening a connection.
+	// ContactTimeout is how long control hosts may leave sync requests unanswered before farther
+	// ones are queried. It allows for six sync requests, or for reopening a connection.
 	ContactTimeout = 1500 * time.Millisecond
-	// regionQueryDelay is how long a starting entry host waits for a configuration from its
-	// own failure domain before it also queries other control hosts of its region. Without
-	// the delay, a simultaneous start of all hosts would double the number of control hosts
-	// that receive each request.
+	// regionQueryDelay is how long a starting entry host waits for a configuration from its own
+	// failure domain before it also queries other control hosts of its region. Without the
+	// delay, a simultaneous start of all hosts would double the number of control hosts that
+	// receive each sync request.
 	regionQueryDelay = 800 * time.Millisecond
 	// staleConfigWait is how long a starting entry host rejects the configuration of a control
 	// host that is out of date. It allows for two attempts to reach one in another region.
 	staleConfigWait = 1500 * time.Millisecond
 	// staleRetryInterval is the pause between sync requests to a control host other than the
-	// primary that is itself out of date. While the consensus group has no majority, all
-	// control hosts are out of date, and each would otherwise receive four requests per second
-	// from every entry host. The pause plus the time for an answer stays below the lease of an
-	// entry host, 1.5 s.
+	// primary that is itself out of date. While the consensus group has no majority, all control
+	// hosts are out of date, and each would otherwise receive four sync requests per second from
+	// every entry host. The pause plus the time for an answer stays below the lease of an entry
+	// host, 1.5 s.
 	staleRetryInterval = 600 * time.Millisecond
 )
 
@@ -53,7 +53,7 @@
 type Contacts struct {
 	lastAnswer  [distances]time.Time // last answer
 	currentAsOf [distances]time.Time // latest time as of which one of them was up to date
-	// primary receives the entry host's load report; see Primary.
+	// primary receives the entry host's load report; see ClaimPrimary.
 	primary struct {
 		address  string
 		distance Distance
@@ -91,18 +91,19 @@
 	return true
 }
 
-// Stable reports whether control hosts of the same failure domain have answered within Lost/2
-// and been up to date within MaxStaleness/2, so that farther ones need not be queried soon.
+// Stable reports whether control hosts of the same failure domain have answered within
+// ContactTimeout/2 and been up to date within MaxStaleness/2, so that farther ones need not be
+// queried soon.
 func (h *Contacts) Stable(now time.Time) bool {
 	return now.Sub(h.lastAnswer[SameDomain]) < ContactTimeout/2 && now.Sub(h.currentAsOf[SameDomain]) <= MaxStaleness/2
 }
 
-// ClaimPrimary reports whether a control host is the entry host's primary. It makes it the primary
-// if no nearer control host answers and the present primary is at another distance or has not
-// answered within Lost. The primary alone receives the entry host's report of requests in
-// flight and forwards it to the other control hosts, which would count a report sent to two
-// control hosts twice. It is one of the nearest control hosts that answer, up to date or not,
-// and stays primary while it answers and no nearer one does.
+// ClaimPrimary reports whether a control host is the entry host's primary. It makes it the
+// primary if no nearer control host answers and the current primary is at another distance or
+// has not answered within ContactTimeout. The primary alone receives the entry host's report of
+// requests in flight and forwards it to the other control hosts, which would count a report sent
+// to two control hosts twice. It is one of the nearest control hosts that answer, up to date or
+// not, and stays primary while it answers and no nearer one does.
 func (h *Contacts) ClaimPrimary(address string, d Distance, now time.Time) bool {
 	for near := range d {
 		if h.inContact(near, now) {
@@ -135,7 +136,7 @@
 	return true
 }
 
-// inContact reports whether a control host at a distance answered within Lost.
+// inContact reports whether a control host at a distance answered within ContactTimeout.
 func (h *Contacts) inContact(d Distance, now time.Time) bool {
 	return now.Sub(h.lastAnswer[d]) < ContactTimeout
 }
@@ -145,8 +146,8 @@
 	return now.Sub(h.currentAsOf[d]) <= MaxStaleness
 }
 
-// AcceptsConfig reports whether an entry host accepts the configuration of a control host, given the
-// staleness of the control host's state. An entry host that has a configuration accepts any,
+// AcceptsConfig reports whether an entry host accepts the configuration of a control host, given
+// the staleness of the control host's state. An entry host that has a configuration accepts any,
 // because it never replaces its configuration by an older one. An entry host without one first
 // waits for a control host that is up to date, because it may have served with a newer
 // configuration before its restart. After staleConfigWait it accepts any configuration.
--- a/internal/core/controlhosts/controlhosts_test.go
+++ b/internal/core/controlhosts/controlhosts_test.go
@@ -49,11 +49,11 @@
 			now := start.Add(c.now)
 			for d := range distances {
 				if got := h.ShouldQuery(d, !c.unconfigured, c.now, now); got != c.asks[d] {
-					t.Errorf("Asks(distance %d) = %v", d, got)
+					t.Errorf("ShouldQuery(distance %d) = %v", d, got)
 				}
 				one := *h
 				if got := one.ClaimPrimary("c", d, now); got != c.primary[d] {
-					t.Errorf("Primary(distance %d) = %v", d, got)
+					t.Errorf("ClaimPrimary(distance %d) = %v", d, got)
 				}
 			}
 		})
@@ -111,7 +111,7 @@
 		t.Helper()
 		now = now.Add(after)
 		if got := h.ClaimPrimary(address, d, now); got != want {
-			t.Errorf("%s: Primary(%s) = %v", what, address, got)
+			t.Errorf("%s: ClaimPrimary(%s) = %v", what, address, got)
 		}
 	}
 	step("no answer yet", 0, "far", OtherRegion, true)
@@ -122,12 +122,12 @@
 	h.RecordAnswer("near2", SameRegion, fresh, now)
 	step("second control host at the same distance as the primary", time.Second, "near2", SameRegion, false)
 	h.RecordAnswer("near2", SameRegion, fresh, now)
-	step("the primary has not answered for longer than Lost", 600*time.Millisecond, "near2", SameRegion, true)
+	step("the primary has not answered for longer than ContactTimeout", 600*time.Millisecond, "near2", SameRegion, true)
 	h.RecordAnswer("near", SameRegion, fresh, now)
 	step("the previous primary answers again", 0, "near", SameRegion, false)
 	step("the new primary stays primary", 0, "near2", SameRegion, true)
 	h.RecordAnswer("own", SameDomain, stale, now)
 	step("same failure domain, out of date", 0, "own", SameDomain, true)
 	step("a farther one is up to date", 0, "near2", SameRegion, false)
-	step("no control host has answered for longer than Lost", 2*time.Second, "far", OtherRegion, true)
+	step("no control host has answered for longer than ContactTimeout", 2*time.Second, "far", OtherRegion, true)
 }
