--- a/internal/core/quota/holder.go
+++ b/internal/core/quota/holder.go
@@ -147,9 +147,9 @@
 // idleTimeout is how long after its last request a team's holder returns all of its units.
 const idleTimeout = 600 * time.Millisecond
 
-// ComposeAsk returns the ask to send to an issuer, and removes the units that the ask returns; nil if
-// there is nothing to send. The nearest issuer is also asked for units for expected requests;
-// needs reports for which teams waiting requests ask this issuer.
+// ComposeAsk returns the ask to send to an issuer, and removes the units that the ask returns;
+// nil if there is nothing to send. The nearest issuer is also asked for units for expected
+// requests; needs reports for which teams waiting requests ask this issuer.
 func (h *Holder) ComposeAsk(issuer string, nearest bool, needs func(team string) bool, now time.Time) *pb.QuotaAsk {
 	ask := &pb.QuotaAsk{}
 	for _, team := range slices.Sorted(maps.Keys(h.accounts)) {
--- a/internal/core/quota/issuer.go
+++ b/internal/core/quota/issuer.go
@@ -25,8 +25,8 @@
 	Bound Bound
 	// Restored is the state that was stored last; nil if there is none.
 	Restored *pb.QuotaState
-	// FirstStart reports that no issuer ran on this control host before. Any other issuer without stored
-	// state gives out nothing of its own part for the duration Settle.
+	// FirstStart reports that no issuer ran on this control host before. Any other issuer
+	// without stored state gives out nothing of its own part for the duration SettlePeriod.
 	FirstStart   bool
 	SettlePeriod time.Duration
 }
@@ -55,7 +55,8 @@
 	refused       float64 // units needed and not granted, since the start
 	// largestAsk is the largest number of units that one ask needed.
 	largestAsk float64
-	// deferred is the number of units needed by asks that were told to come back later.
+	// deferred is the number of units that were needed and not granted, for which the askers
+	// will ask again.
 	deferred   float64
 	deferredAt time.Time
 	inForce    bool
@@ -405,8 +406,8 @@
 	return given
 }
 
-// ComposeBorrowAsk returns the ask to send to one of the given number of lenders, and removes the units that
-// the ask returns; nil if there is nothing to send.
+// ComposeBorrowAsk returns the ask to send to one of the given number of lenders, and removes
+// the units that the ask returns; nil if there is nothing to send.
 func (i *Issuer) ComposeBorrowAsk(lender string, lenders int, now time.Time) *pb.QuotaAsk {
 	ask := &pb.QuotaAsk{Transfer: true}
 	for _, name := range slices.Sorted(maps.Keys(i.allotments)) {
@@ -463,8 +464,8 @@
 	maxStoredFactor    = 4                      // times what is not free or may soon be given out
 )
 
-// StateToStore returns the state to store now; nil if the stored state still suffices. After a non-nil
-// result the caller calls Stored or NotStored.
+// StateToStore returns the state to store now; nil if the stored state still suffices. After a
+// non-nil result the caller calls ConfirmStored or InvalidateStored.
 func (i *Issuer) StateToStore(now time.Time) *pb.QuotaState {
 	if i.settling(now) {
 		return nil
@@ -490,7 +491,7 @@
 	return out
 }
 
-// ConfirmStored applies that a state returned by ToStore has been stored.
+// ConfirmStored records that a state returned by StateToStore has been stored.
 func (i *Issuer) ConfirmStored(s *pb.QuotaState) {
 	for name, u := range s.GetTeams() {
 		if p := i.allotments[name]; p != nil {
@@ -500,8 +501,8 @@
 	}
 }
 
-// InvalidateStored records that a store failed and the stored state is unknown: nothing more is given out
-// until a later store succeeds.
+// InvalidateStored records that a store failed and the stored state is unknown: nothing more is
+// given out until a later store succeeds.
 func (i *Issuer) InvalidateStored() {
 	for _, p := range i.allotments {
 		p.grants, p.loans = allowance{}, allowance{}
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -16,8 +16,8 @@
 //     units that an issuer borrowed and does not return: the lender counts them as free one window
 //     after the last moment at which they can be spent.
 //   - Units whose message is lost count as spent.
-//   - An issuer gives out units only after it has stored that it may (Stored): after a restart,
-//     everything that it may have given out counts as spent at the time of the restart.
+//   - An issuer gives out units only after it has stored that it may (ConfirmStored): after a
+//     restart, everything that it may have given out counts as spent at the time of the restart.
 //
 // The load that the design assumes: a team's requests arrive at any of hundreds of hosts and move
 // between regions within a second, and one request may need a third of what the team may send in a
--- a/internal/core/quota/simulation_test.go
+++ b/internal/core/quota/simulation_test.go
@@ -13,9 +13,9 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// The simulation runs issuers and holders over a network that delays, loses and duplicates messages.
-// Issuers and holders are killed, restarted and partitioned at any time. What an issuer stores
-// reaches its disk after a delay, or not at all if the issuer is killed before.
+// The simulation runs issuers and holders over a network that delays, loses and duplicates
+// messages. Issuers and holders are killed, restarted and partitioned at any time. What an
+// issuer stores reaches its disk after a delay, or not at all if the issuer is killed before.
 
 const simTeam = "hall"
 
@@ -372,8 +372,8 @@
 	return nil
 }
 
-// limitAt returns the number of units allowed in a window that begins at at. A lowered quota applies
-// one window after it was set, when all issuers and holders have received it.
+// limitAt returns the number of units allowed in a window that begins at at. A lowered quota
+// applies one window after it was set, when all issuers and holders have received it.
 func (w *simulation) limitAt(at time.Time) float64 {
 	limit := 0.0
 	for i, q := range w.quotas {
--- a/internal/core/registry/changes.go
+++ b/internal/core/registry/changes.go
@@ -20,7 +20,7 @@
 )
 
 // Changes holds the changes that are sent to entry hosts of a region. The times of announcements
-// are not part of it; see HeardSince.
+// are not part of it; see AnnouncedSince.
 type Changes struct {
 	Servers        []*Server // new, changed or gone
 	RemovedServers []string  // expired or deleted
@@ -44,9 +44,9 @@
 	return r.version
 }
 
-// ChangesSince returns the changes after a version for entry hosts of a region. It reports whether the
-// log still holds all of them. Its cost grows with the changes and not with the fleet, because
-// each entry host calls it several times a second.
+// ChangesSince returns the changes after a version for entry hosts of a region. It reports
+// whether the log still holds all of them. Its cost grows with the changes and not with the
+// fleet, because each entry host calls it several times a second.
 func (r *Registry) ChangesSince(version uint64, region string, now time.Time) (c Changes, complete bool) {
 	if version < r.trimmedVersion {
 		return c, false
--- a/internal/core/registry/changes_test.go
+++ b/internal/core/registry/changes_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestListAndChanges applies announcements, a lease expiry and leaves, and checks after each step
-// which servers are listed and which changes Since returns for the version before the step.
+// TestListAndChanges applies announcements, a lease expiry and leaves, and checks after each
+// step which servers are listed and which changes ChangesSince returns for the version before
+// the step.
 func TestListAndChanges(t *testing.T) {
 	r := newRegistry()
 	check := func(step string, since uint64, now int, listed, changed, removed []string) {
@@ -57,7 +58,8 @@
 	check("entries deleted", since, 4100, nil, nil, []string{"a"})
 }
 
-// TestChangesAreBounded checks that Since reports a version older than the log as incomplete.
+// TestChangesAreBounded checks that ChangesSince reports a version older than the log as
+// incomplete.
 func TestChangesAreBounded(t *testing.T) {
 	r := newRegistry()
 	start := r.Version()
--- a/internal/core/registry/hosts.go
+++ b/internal/core/registry/hosts.go
@@ -19,7 +19,7 @@
 	ID, Peer, Caller, Region, FailureDomain string
 	Ready                                   bool
 	LastSeen                                time.Time // last sync request to any control host
-	// Direct is set by the caller of HearHost when the host sent the sync request to this
+	// Direct is set by the caller of UpdateHost when the host sent the sync request to this
 	// control host, and Primary when the receiving control host is the entry host's primary.
 	Direct, Primary bool
 	// Via is the failure domain of the control host that received its last sync request; "" for
@@ -111,13 +111,13 @@
 // RenewHost records that another control host, which sent the full entry of an entry host
 // before, still receives its sync requests; owned is true if that control host owns the host's
 // loads. It reports whether the host is known here.
-func (r *Registry) RenewHost(key uint32, owned, ready bool, via string, heardAt, now time.Time) bool {
+func (r *Registry) RenewHost(key uint32, owned, ready bool, via string, lastSeen, now time.Time) bool {
 	known := r.hostByKey[key]
 	if known == nil {
 		return false
 	}
 	h := *known
-	h.LastSeen, h.Direct, h.Primary, h.Ready, h.Via = heardAt, false, owned, ready, via
+	h.LastSeen, h.Direct, h.Primary, h.Ready, h.Via = lastSeen, false, owned, ready, via
 	r.UpdateHost(h, now)
 	return true
 }
@@ -176,8 +176,8 @@
 	r.controls[c.Peer] = &c
 }
 
-// UpdateReportedControl records a control host of another region as reported by another control host of
-// the same failure domain. It keeps the loads that the control host itself sent.
+// UpdateReportedControl records a control host of another region as reported by another control
+// host of the same failure domain. It keeps the loads that the control host itself sent.
 func (r *Registry) UpdateReportedControl(c Control) {
 	old := r.controls[c.Peer]
 	if old == nil {
@@ -193,10 +193,10 @@
 // a time do no harm.
 const representativeTimeout = time.Second
 
-// RepresentsDomain reports whether this control host, at ownAddress, represents its failure domain to other
-// regions: no control host of the failure domain with a lower address has sent a message within
-// representativeTimeout. Traffic between regions thus grows with the number of failure domains and
-// not with the number of control hosts.
+// RepresentsDomain reports whether this control host, at ownAddress, represents its failure
+// domain to other regions: no control host of the failure domain with a lower address has sent a
+// message within representativeTimeout. Traffic between regions thus grows with the number of
+// failure domains and not with the number of control hosts.
 func (r *Registry) RepresentsDomain(ownAddress string, now time.Time) bool {
 	for _, c := range r.controls {
 		if c.FailureDomain == r.o.FailureDomain && c.Peer < ownAddress && now.Sub(c.LastSeen) <= representativeTimeout {
--- a/internal/core/registry/owner_test.go
+++ b/internal/core/registry/owner_test.go
@@ -103,10 +103,10 @@
 	return int(loadsOfOtherHosts(p.registries[reg], "")[uint32(host+1)].Requests) / requestsPerHost
 }
 
-// TestFiguresAreCountedOnce has several control hosts in a failure domain, and entry hosts that each
-// sync with one of them. It guards against double counting: when each control host took every
-// sync request as its own and sent a sum of them, eight control hosts reported twelve requests
-// where there were three.
+// TestFiguresAreCountedOnce has several control hosts in a failure domain, and entry hosts that
+// each sync with one of them. It guards against double counting: when each control host took
+// every sync request as its own and sent a sum of them, eight control hosts reported twelve
+// requests where there were three.
 func TestFiguresAreCountedOnce(t *testing.T) {
 	for _, controls := range []int{1, 2, 8, 24} {
 		t.Run(fmt.Sprint(controls, " control hosts"), func(t *testing.T) {
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -35,14 +35,15 @@
 // sent nothing is treated as lost: two announcements may be late or lost.
 const MissedAnnouncements = 3
 
-// AgeUnitMS is the unit of announcement ages in a view, in ms. Ages up to 6 s then encode to one byte.
+// AgeUnitMS is the unit of announcement ages in a view, in ms. Ages up to 6 s then encode to one
+// byte.
 const AgeUnitMS = 50
 
 // goneRetention is how long an entry is kept after its last message: longer than a network
 // partition can delay an announcement, so that a late one does not restore a server that left.
 const goneRetention = 5 * time.Minute
 
-// Server is one start of a backend server.
+// Server is one process of a backend server, identified by its start (see package incarnation).
 type Server struct {
 	ID, Service, Address, FailureDomain string
 	// Start is when the server's process began, in Unix ms by the server's own clock; 0 when the
@@ -54,8 +55,8 @@
 	Leaving, Gone       bool
 	FirstSeen, LastSeen time.Time
 	ColdUntil           time.Time
-	// DirectAt is when this control host last received an announcement from the server itself; zero for
-	// never.
+	// DirectAt is when this control host last received an announcement from the server itself;
+	// zero for never.
 	DirectAt time.Time
 	// Via is the failure domain of the control host that forwarded the last announcement; "" when
 	// the server sent it here.
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestArrivals checks that a host gets the arrivals at the region's other hosts, and that a region's
-// sums contain the arrivals at its own hosts.
+// TestArrivals checks that a host gets the arrivals at the region's other hosts, and that a
+// region's sums contain the arrivals at its own hosts.
 func TestArrivals(t *testing.T) {
 	r := newRegistry()
 	s := announcement("s0", "x0", 1, 0)
--- a/internal/core/registry/starts_test.go
+++ b/internal/core/registry/starts_test.go
@@ -13,8 +13,8 @@
 	return s
 }
 
-// TestRestartUnderOneID applies announcements of two starts that share an ID, and checks which start
-// is in use at the end, at which address, and with which sequence number.
+// TestRestartUnderOneID applies announcements of two starts that share an ID, and checks which
+// start is in use at the end, at which address, and with which sequence number.
 func TestRestartUnderOneID(t *testing.T) {
 	type message struct {
 		s     Server
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestRestartsInterleaved delivers announcements and leaves of several starts in random order to two
-// control hosts that exchange their states. The known start never decreases, and at the end both
-// control hosts have the newest one.
+// TestRestartsInterleaved delivers announcements and leaves of several starts in random order to
+// two control hosts that exchange their states. The known start never decreases, and at the end
+// both control hosts have the newest one.
 func TestRestartsInterleaved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := []*Registry{newRegistry(), newRegistry()}
