--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// TestLagEstimate feeds load reports of a known age and checks that the estimated lag is within 0.5 s.
+// TestLagEstimate feeds load reports of a known age and checks that the estimated lag is within
+// 0.5 s.
 func TestLagEstimate(t *testing.T) {
 	for _, lag := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		tab := table()
--- a/internal/core/backend/load.go
+++ b/internal/core/backend/load.go
@@ -110,8 +110,8 @@
 	return math.Exp(-float64(age) / float64(max(turnover, minTurnover)))
 }
 
-// minTurnover bounds the turnover time from below, so that reports of servers with short requests keep
-// some weight.
+// minTurnover bounds the turnover time from below, so that reports of servers with short
+// requests keep some weight.
 const minTurnover = 500 * time.Millisecond
 
 // history holds this host's attempts in flight at a server, sampled in steps of historyStep.
@@ -142,7 +142,8 @@
 	h.ring[step%historySteps] = int32(inflight)
 }
 
-// at returns the attempts in flight at a past time; for a time before the history, its oldest value.
+// at returns the attempts in flight at a past time; for a time before the history, its oldest
+// value.
 func (h *history) at(t time.Time) int {
 	if !h.initialized {
 		return 0
--- a/internal/core/configstate/compress.go
+++ b/internal/core/configstate/compress.go
@@ -31,8 +31,8 @@
 	return out.Bytes(), nil
 }
 
-// Decompress returns the bytes that were passed to Compress. Uncompressed bytes are returned as they
-// are.
+// Decompress returns the bytes that were passed to Compress. Uncompressed bytes are returned as
+// they are.
 func Decompress(raw []byte) ([]byte, error) {
 	if !bytes.HasPrefix(raw, gzipMagic) {
 		return raw, nil
--- a/internal/core/configstate/quarantine.go
+++ b/internal/core/configstate/quarantine.go
@@ -19,9 +19,9 @@
 	return out
 }
 
-// MustReplaceKept reports whether a record must replace the kept one of its fingerprint, nil for none. It
-// must if it is a first verdict, was cleared more often, or has a different crash count and at least
-// as many server processes.
+// MustReplaceKept reports whether a record must replace the kept one of its fingerprint, nil for
+// none. It must if it is a first verdict, was cleared more often, or has a different crash count
+// and at least as many server processes.
 func MustReplaceKept(r, kept *pb.QuarantineRecord) bool {
 	crashes := crashCount(r)
 	switch {
@@ -53,7 +53,7 @@
 	if at >= 0 {
 		kept = m.log.Quarantined[at].Record
 	}
-	// An operator may also clear a suspicion, for which no record is kept.
+	// An operator may also clear a suspect fingerprint, for which no record is kept.
 	if !MustReplaceKept(r, kept) && !(lift && kept == nil) {
 		return unchanged
 	}
--- a/internal/core/configstate/teams.go
+++ b/internal/core/configstate/teams.go
@@ -17,7 +17,8 @@
 type Quota struct {
 	// Unit is "requests" or "tokens".
 	Unit string `json:"unit"`
-	// PerSecond is the rate and Burst the burst size, in units: in any period of t seconds at most PerSecond*t + Burst may be sent.
+	// PerSecond is the rate and Burst the burst size, in units: in any period of t seconds at
+	// most PerSecond*t + Burst may be sent.
 	PerSecond float64 `json:"per_second"`
 	Burst     float64 `json:"burst"`
 	// PlainTokens is the cost of a request that states no token count, with unit "tokens".
--- a/internal/core/consensus/repair.go
+++ b/internal/core/consensus/repair.go
@@ -170,12 +170,12 @@
 	return best
 }
 
-// preferred reports whether learner id is preferred to learner than as a voter: its location
-// is known, its region or then its failure domain has fewer voters, or, if these are equal, it
-// alone is caught up.
-func (g *groupView) preferred(id, than string) bool {
+// preferred reports whether learner id is a better choice of voter than learner other: its
+// location is known, its region or then its failure domain has fewer voters, or, if these are
+// equal, it alone is caught up.
+func (g *groupView) preferred(id, other string) bool {
 	a, knownA := g.location[id]
-	b, knownB := g.location[than]
+	b, knownB := g.location[other]
 	if knownA != knownB {
 		return knownA
 	}
@@ -185,5 +185,5 @@
 	if x, y := g.inDomain[a.FailureDomain], g.inDomain[b.FailureDomain]; x != y {
 		return x < y
 	}
-	return g.caughtUp[id] && !g.caughtUp[than]
+	return g.caughtUp[id] && !g.caughtUp[other]
 }
--- a/internal/core/holders/holders.go
+++ b/internal/core/holders/holders.go
@@ -99,14 +99,14 @@
 	return out
 }
 
-// FromEntryHosts returns the places from a position on that entry hosts reported to this control host,
-// for forwarding to other control hosts, and the position for the next call.
+// FromEntryHosts returns the places from a position on that entry hosts reported to this control
+// host, for forwarding to other control hosts, and the position for the next call.
 func (l *Log) FromEntryHosts(from uint64) ([]Place, uint64) {
 	return l.filterFrom(from, func(e entry) bool { return e.origin != "" })
 }
 
-// FromDomain returns the places from a position on that entry hosts reported to this control host or
-// to another one of its failure domain, and the position for the next call.
+// FromDomain returns the places from a position on that entry hosts reported to this control
+// host or to another one of its failure domain, and the position for the next call.
 func (l *Log) FromDomain(from uint64) ([]Place, uint64) {
 	return l.filterFrom(from, func(e entry) bool { return e.origin != "" || e.sameDomain })
 }
@@ -138,7 +138,8 @@
 	Used   time.Time // when the last prompt with the chain was recorded
 }
 
-// Table maps chains to their probable holders, for one entry host. It is not safe for concurrent use.
+// Table maps chains to their probable holders, for one entry host. It is not safe for concurrent
+// use.
 type Table struct{ chains map[uint32][]Holder }
 
 // NewTable returns an empty table.
--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// newState returns a state with the given numbers of servers and of other failure domains, and a job.
+// newState returns a state with the given numbers of servers and of other failure domains, and a
+// job.
 func newState(servers, domains int) (*State, *Job) {
 	rnd := rand.New(rand.NewSource(1))
 	s := New(Options{
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -34,7 +34,7 @@
 	Permitted     []string        // regions that the residency rules permit
 	Forwarded     bool            // came from another entry host: only own servers may run it
 	Avoid         map[string]bool // failed servers and failure domains, by ID or name
-	ServerCrashes int             // number of servers whose process ended while they ran the request
+	ServerCrashes int             // number of server processes that crashed while running the request
 	Policy        configstate.Policy
 }
 
@@ -47,8 +47,8 @@
 // targetName is SummaryName of the job's target.
 func (j *Job) targetName() string { return SummaryName(j.Kind, j.Target) }
 
-// SummaryName returns the name of a target in summaries. It distinguishes models and services of the
-// same name.
+// SummaryName returns the name of a target in summaries. It distinguishes models and services of
+// the same name.
 func SummaryName(kind, target string) string { return kind + "/" + target }
 
 // Place is the destination of an attempt: a backend server or another failure domain.
@@ -192,8 +192,8 @@
 	return nil, w, d, nil
 }
 
-// noServerRetryAfter is the Retry-After for a refusal because no server was found: by then a lease may
-// have been renewed and a summary received.
+// noServerRetryAfter is the Retry-After for a refusal because no server was found: by then a
+// lease may have been renewed and a summary received.
 const noServerRetryAfter = 2 * time.Second
 
 // Cancel removes a waiting job. It reports false if the job was granted already.
@@ -294,8 +294,8 @@
 	return out
 }
 
-// assumedPrefillRate is the prefill rate assumed for servers in other failure domains, in tokens per
-// second.
+// assumedPrefillRate is the prefill rate assumed for servers in other failure domains, in tokens
+// per second.
 const assumedPrefillRate = 8000
 
 // stickyPeriod is how long after a forward a failure domain counts as in use, for the same target.
--- a/internal/core/rendezvous/rendezvous_test.go
+++ b/internal/core/rendezvous/rendezvous_test.go
@@ -16,7 +16,7 @@
 
 func TestFirstOfNone(t *testing.T) {
 	if got := Owner("k", nil); got != "" {
-		t.Errorf("First of no members returned %q, want an empty string", got)
+		t.Errorf("Owner of no members returned %q, want an empty string", got)
 	}
 }
 
--- a/internal/core/retry/shared.go
+++ b/internal/core/retry/shared.go
@@ -13,7 +13,7 @@
 	last   time.Time
 }
 
-// SharedBudgetOptions configures a Shared.
+// SharedBudgetOptions configures a SharedBudget.
 type SharedBudgetOptions struct {
 	// Ratio is the number of retries that each request allows.
 	Ratio float64
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -18,7 +18,8 @@
 	Prefixes     []uint64 // chain of prefix hashes, shortest first
 	PromptTokens float64
 	Forwarded    bool // forwarded by another entry host: only local servers are eligible
-	// CrashProbability is the probability (0 to 1) that the request crashes the server that runs it.
+	// CrashProbability is the probability (0 to 1) that the request crashes the server that runs
+	// it.
 	CrashProbability float64
 }
 
@@ -123,7 +124,7 @@
 
 // Choose selects a target for the request. awayShare is the fraction of recent
 // requests that were sent to other regions; random returns numbers in [0, 1).
-func Choose(q Query, servers []Server, remotes []Remote, w Weights, awayShare float64, random func() float64) Decision {
+func Choose(q Query, servers []Server, remotes []Remote, w Weights, otherRegionShare float64, random func() float64) Decision {
 	d := Decision{LocalEstimateMS: math.Inf(1)}
 	best := chooseLocal(q, servers, w, random, &d)
 	if best != nil {
@@ -132,7 +133,7 @@
 		d.EstimateMS = d.LocalEstimateMS
 	}
 	if !q.Forwarded {
-		chooseRemote(q, remotes, w, awayShare, &d)
+		chooseRemote(q, remotes, w, otherRegionShare, &d)
 	}
 	return d
 }
@@ -171,9 +172,9 @@
 	return &open[best]
 }
 
-// expectedCostMS returns the estimated time to first token at a server plus the
-// expected cost of crashing it: the service time of its outstanding requests,
-// weighted by the request's suspicion.
+// expectedCostMS returns the estimated time to first token at a server plus the expected cost of
+// crashing it: the service time of its outstanding requests, weighted by the request's crash
+// probability.
 func expectedCostMS(q Query, s Server, cacheWeight float64) float64 {
 	return Estimate(q, s, cacheWeight) + q.CrashProbability*s.Outstanding*s.ServiceMS
 }
@@ -254,13 +255,13 @@
 
 // chooseRemote replaces the local choice by the failure domain with the lowest
 // estimate among those that remoteRejection accepts.
-func chooseRemote(q Query, remotes []Remote, w Weights, awayShare float64, d *Decision) {
+func chooseRemote(q Query, remotes []Remote, w Weights, otherRegionShare float64, d *Decision) {
 	best := -1
 	estimates := make([]float64, len(remotes))
 	reasons := make([]string, len(remotes))
 	for i, r := range remotes {
 		estimates[i] = remoteEstimateMS(r, w)
-		reasons[i] = remoteRejection(r, w, awayShare, estimates[i], d)
+		reasons[i] = remoteRejection(r, w, otherRegionShare, estimates[i], d)
 		if reasons[i] == "" && (best < 0 || estimates[i] < estimates[best]) {
 			best = i
 		}
@@ -313,7 +314,7 @@
 
 // remoteRejection returns the reason for rejecting a failure domain, or "" when it
 // is eligible.
-func remoteRejection(r Remote, w Weights, awayShare, estimate float64, d *Decision) string {
+func remoteRejection(r Remote, w Weights, otherRegionShare, estimate float64, d *Decision) string {
 	if r.Slots <= 0 {
 		return "no server"
 	}
@@ -326,7 +327,7 @@
 	if d.Kind != Local {
 		return "" // no local server is available: ceiling, own share and margin do not apply
 	}
-	if r.OtherRegion && awayShare >= w.Ceiling {
+	if r.OtherRegion && otherRegionShare >= w.Ceiling {
 		return "ceiling of requests sent away"
 	}
 	if r.InFlight >= max(1, (r.Slots-r.Outstanding)/max(1, r.Senders)) {
--- a/internal/core/speed/speed.go
+++ b/internal/core/speed/speed.go
@@ -91,7 +91,8 @@
 // sum of the times of the requests ahead.
 func (e *Estimator) HoldMS() float64 { return min(maxHoldMS, e.hold.value) }
 
-// ObserveHold records the time in ms from the first to the last event of an engine's complete answer.
+// ObserveHold records the time in ms from the first to the last event of an engine's complete
+// answer.
 func (e *Estimator) ObserveHold(ms float64) {
 	if ms > 0 {
 		e.hold.add(min(ms, maxHoldMS))
@@ -101,8 +102,8 @@
 // Samples returns the number of prefill samples held, for logs and metrics.
 func (e *Estimator) Samples() int { return len(e.prefillMSPerToken.samples) }
 
-// ObserveFirstEvent records the first event of an engine's answer. It ignores prompts of intermediate size
-// and prompts with too much prefill queued ahead.
+// ObserveFirstEvent records the first event of an engine's answer. It ignores prompts of
+// intermediate size and prompts with too much prefill queued ahead.
 func (e *Estimator) ObserveFirstEvent(s Sample) {
 	switch {
 	case s.FirstEventMS <= 0:
