--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -226,7 +226,8 @@
 		}
 		j := s.waiting[w]
 		delete(s.waiting, w)
-		// The decision was made for the first job of the target; another job may get another one.
+		// Next called the function once per target, for the target's first job; the decision for
+		// this job may differ.
 		if d = s.decide(j, now); d.Kind == routing.NoTarget {
 			err := failure.New(failure.NoServer, failure.NotRun, "no permitted backend server or failure domain can take this request").WithRetryAfter(noServerRetryAfter)
 			out = append(out, Grant{Waiter: w, Err: err})
@@ -429,8 +430,8 @@
 
 // share is an exponentially decaying share of requests sent to another region.
 type share struct {
-	away, total float64
-	last        time.Time
+	otherRegion, total float64
+	last               time.Time
 }
 
 // shareHalfLife is the half-life of the counts in a share.
@@ -439,16 +440,16 @@
 func (s *share) decay(now time.Time) {
 	if !s.last.IsZero() {
 		f := math.Exp2(-now.Sub(s.last).Seconds() / shareHalfLife.Seconds())
-		s.away, s.total = s.away*f, s.total*f
+		s.otherRegion, s.total = s.otherRegion*f, s.total*f
 	}
 	s.last = now
 }
 
-func (s *share) add(away bool, now time.Time) {
+func (s *share) add(otherRegion bool, now time.Time) {
 	s.decay(now)
 	s.total++
-	if away {
-		s.away++
+	if otherRegion {
+		s.otherRegion++
 	}
 }
 
@@ -457,5 +458,5 @@
 func (s *share) value(now time.Time) float64 {
 	s.decay(now)
 	const prior = 5
-	return s.away / (s.total + prior)
+	return s.otherRegion / (s.total + prior)
 }
--- a/internal/core/quota/issuer.go
+++ b/internal/core/quota/issuer.go
@@ -325,10 +325,10 @@
 	has := i.grantable(p, now)
 	given := min(needed, has)
 	s := &pb.QuotaShare{}
-	if lacks := needed - given; lacks > 0 {
-		p.demand.add(lacks, now)
-		p.deferred += lacks
-		p.refused += lacks
+	if shortfall := needed - given; shortfall > 0 {
+		p.demand.add(shortfall, now)
+		p.deferred += shortfall
+		p.refused += shortfall
 		s.MoreInMs = i.moreInMS(p, now)
 	}
 	s.Granted = given + min(ahead, aheadShare*(has-given))
@@ -358,11 +358,11 @@
 
 // moreInMS returns the expected time, in ms, until the units of deferred asks are free.
 func (i *Issuer) moreInMS(p *allotment, now time.Time) uint64 {
-	lacks := p.deferred - max(0, p.free)
-	if lacks <= 0 {
+	shortfall := p.deferred - max(0, p.free)
+	if shortfall <= 0 {
 		return uint64(storeDelay.Milliseconds())
 	}
-	in, ok := p.returns.timeUntil(lacks, now)
+	in, ok := p.returns.timeUntil(shortfall, now)
 	if !ok {
 		in = i.o.Bound.Window
 	}
@@ -393,15 +393,15 @@
 	delete(p.lent, from)
 	given := 0.0
 	if i.active {
-		lends := totalUnits(p.lent) + kept
+		lentUnits := totalUnits(p.lent) + kept
 		spare := min(p.free-p.demand.rateAt(now)*reservePeriod.Seconds(), p.loans.available())
-		spare = min(spare, p.base-lends) // borrowed units are not lent on
+		spare = min(spare, p.base-lentUnits) // borrowed units are not lent on
 		given = min(nonNegative(m.Needed), max(0, spare)/2)
 	}
 	p.free -= given
 	p.loans.use(given)
-	if lends := kept + given; lends > 0 {
-		p.lent[from] = leasedUnits{lends, now.Add(LoanLease)}
+	if lentUnits := kept + given; lentUnits > 0 {
+		p.lent[from] = leasedUnits{lentUnits, now.Add(LoanLease)}
 	}
 	return given
 }
@@ -421,8 +421,8 @@
 			p.free -= m.Returned
 			p.borrowed[lender] = leasedUnits{m.Kept, l.until}
 		}
-		if lacks := demand*borrowPeriod.Seconds() - p.free; lacks > 1 && p.inForce {
-			m.Needed = lacks / float64(lenders)
+		if shortfall := demand*borrowPeriod.Seconds() - p.free; shortfall > 1 && p.inForce {
+			m.Needed = shortfall / float64(lenders)
 		}
 		if m.Returned == 0 && m.Kept == 0 {
 			delete(p.borrowed, lender)
@@ -474,11 +474,11 @@
 	out := &pb.QuotaState{Teams: map[string]*pb.QuotaUnits{}}
 	for name, p := range i.allotments {
 		i.update(p, now)
-		spent, lends := p.spent(), totalUnits(p.lent)
+		spent, lentUnits := p.spent(), totalUnits(p.lent)
 		grants := max(0, min(p.demand.rateAt(now)*storeAheadPeriod.Seconds()+storeAheadFraction*p.size()+storeLargestFactor*p.largestAsk, p.free))
 		loans := max(0, min(storeAheadFraction*p.size(), p.free))
-		due = due || p.grants.needsStore(grants, spent) || p.loans.needsStore(loans, lends)
-		out.Teams[name] = &pb.QuotaUnits{Spent: spent + grants, Lent: lends + loans, Own: max(p.base, p.formerBase.units), Back: p.returns.toProto(now)}
+		due = due || p.grants.needsStore(grants, spent) || p.loans.needsStore(loans, lentUnits)
+		out.Teams[name] = &pb.QuotaUnits{Spent: spent + grants, Lent: lentUnits + loans, Own: max(p.base, p.formerBase.units), Back: p.returns.toProto(now)}
 	}
 	if !due {
 		return nil
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -122,8 +122,8 @@
 	return s.Outstanding >= s.Slots*(1+w.QueuePerSlot)
 }
 
-// Choose selects a target for the request. awayShare is the fraction of recent
-// requests that were sent to other regions; random returns numbers in [0, 1).
+// Choose selects a target for the request. otherRegionShare is the fraction of recent requests
+// that were sent to other regions; random returns numbers in [0, 1).
 func Choose(q Query, servers []Server, remotes []Remote, w Weights, otherRegionShare float64, random func() float64) Decision {
 	d := Decision{LocalEstimateMS: math.Inf(1)}
 	best := chooseLocal(q, servers, w, random, &d)
