--- a/internal/core/controlhosts/controlhosts_test.go
+++ b/internal/core/controlhosts/controlhosts_test.go
@@ -23,7 +23,7 @@
 		answers      []answer
 		now          time.Duration
 		unconfigured bool
-		asks         [distances]bool
+		queries      [distances]bool
 		primary      [distances]bool
 	}{
 		{"no answer yet", nil, 10 * s, false, [3]bool{true, true, true}, [3]bool{true, true, true}},
@@ -48,7 +48,7 @@
 			h := contactsAfter(c.answers)
 			now := start.Add(c.now)
 			for d := range distances {
-				if got := h.ShouldQuery(d, !c.unconfigured, c.now, now); got != c.asks[d] {
+				if got := h.ShouldQuery(d, !c.unconfigured, c.now, now); got != c.queries[d] {
 					t.Errorf("ShouldQuery(distance %d) = %v", d, got)
 				}
 				one := *h
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -165,11 +165,11 @@
 		}
 	}
 	cases := []struct {
-		name string
-		make func(*Fleet)
-		job  func(*Job)
-		now  time.Duration
-		away bool
+		name      string
+		make      func(*Fleet)
+		job       func(*Job)
+		now       time.Duration
+		forwarded bool
 	}{
 		{"both idle", func(*Fleet) {}, func(*Job) {}, 0, false},
 		{"own region busy", busy, func(*Job) {}, 0, true},
@@ -189,8 +189,8 @@
 			j := longJob("c1")
 			c.job(j)
 			choice := f.Choose(j, start.Add(c.now))
-			if away := choice.Host != nil; away != c.away || choice.Refused != "" {
-				t.Errorf("away %v, want %v; refused %q", away, c.away, choice.Refused)
+			if forwarded := choice.Host != nil; forwarded != c.forwarded || choice.Refused != "" {
+				t.Errorf("forwarded %v, want %v; refused %q", forwarded, c.forwarded, choice.Refused)
 			}
 		})
 	}
@@ -200,7 +200,7 @@
 // looks idle. The host counts its own forwards, so that it does not overload that region.
 func TestForwardsSpreadWithStaleFigures(t *testing.T) {
 	f := newTestFleet(2)
-	away := 0
+	forwarded := 0
 	for range 200 {
 		c := f.Choose(longJob("c1"), start)
 		if c.Refused != "" {
@@ -208,11 +208,11 @@
 		}
 		f.Started(&c, start)
 		if c.Host != nil {
-			away++
+			forwarded++
 		}
 	}
-	if away == 0 || away > 150 {
-		t.Errorf("%d of 200 requests forwarded to a region of the same size", away)
+	if forwarded == 0 || forwarded > 150 {
+		t.Errorf("%d of 200 requests forwarded to a region of the same size", forwarded)
 	}
 }
 
--- a/internal/core/dispatch/load_test.go
+++ b/internal/core/dispatch/load_test.go
@@ -27,9 +27,9 @@
 	repeatedTokens int // shared tokens prefilled again
 	prefilled      map[string]bool
 	chains         int
-	// copyPerMS is the rate at which engines copy KV cache from each other, in tokens per ms; 0
+	// copyTokensPerMS is the rate at which engines copy KV cache from each other, in tokens per ms; 0
 	// for never.
-	copyPerMS float64
+	copyTokensPerMS float64
 	// twoDomains puts every second host and engine into another failure domain; crossed counts
 	// the short requests that go to an engine of another failure domain.
 	twoDomains bool
@@ -148,7 +148,7 @@
 
 func (p *simulatedRegion) arrive(j *Job, long bool) []*activeRequest {
 	h := p.hosts[p.rnd.Intn(len(p.hosts))]
-	j.Permits, j.CopyTokensPerMS = only("west"), p.copyPerMS
+	j.Permits, j.CopyTokensPerMS = only("west"), p.copyTokensPerMS
 	c := h.Choose(j, p.now)
 	if c.Server == nil {
 		p.waits = append(p.waits, 1e6)
@@ -217,7 +217,7 @@
 		name            string
 		hosts, engines  int
 		chains          int
-		copyPerMS       float64
+		copyTokensPerMS float64
 		seconds         int
 		shorts, longs   float64 // per second
 		p99, longP95    float64 // ms, at most
@@ -235,14 +235,14 @@
 			var p99, longP95, paused, repeated float64
 			for seed := range int64(seedsPerLoad) {
 				p := newSimulatedRegion(seed, c.hosts, c.engines, c.chains)
-				p.copyPerMS = c.copyPerMS
+				p.copyTokensPerMS = c.copyTokensPerMS
 				p.run(c.seconds, c.shorts, c.longs)
 				p99 += quantile(p.waits, 0.99) / seedsPerLoad
 				longP95 += quantile(p.long, 0.95) / seedsPerLoad
 				paused += float64(p.paused) / float64(p.short) / seedsPerLoad
 				repeated += float64(p.repeatedTokens) / float64(len(p.long)) / seedsPerLoad
 			}
-			t.Logf("p99 %.0f ms, long p95 %.0f ms, paused %.4f, prefilled again %.0f tokens per long prompt", p99, longP95, paused, repeated)
+			t.Logf("p99 %.0f ms, long p95 %.0f ms, paused %.4f, read again %.0f tokens a long prompt", p99, longP95, paused, repeated)
 			if p99 > c.p99 {
 				t.Errorf("p99 %.0f ms, at most %.0f", p99, c.p99)
 			}
@@ -267,7 +267,7 @@
 	var p99, longP95, crossed float64
 	for seed := range int64(seedsPerLoad) {
 		p := newSimulatedRegion(seed, 0, engines, chains)
-		p.twoDomains, p.copyPerMS = true, 500
+		p.twoDomains, p.copyTokensPerMS = true, 500
 		p.addHosts(hosts)
 		p.run(20, 400, 90)
 		p99 += quantile(p.waits, 0.99) / seedsPerLoad
--- a/internal/core/quarantine/bound_test.go
+++ b/internal/core/quarantine/bound_test.go
@@ -69,7 +69,7 @@
 		for step := range boundSteps {
 			m.finish(f, step)
 			for h := range hosts {
-				if step%exchangeSteps == phase[h] || rapid.IntRange(0, 9).Draw(t, "exchange early") == 0 {
+				if step%exchangeSteps == phase[h] || rapid.IntRange(0, 9).Draw(t, "news") == 0 {
 					m.exchange(h, step, rapid.IntRange(0, 4).Draw(t, "again") == 0)
 				}
 			}
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -363,8 +363,8 @@
 		t.Errorf("own crash is not sent after a received record of the same request: %v", own)
 	}
 	table.Lift(request(5), start)
-	if decisive, _ := table.Since(0, 100, NeededByEntryHosts, start); len(decisive) != 2 || decisive[0].Service != "llm" {
-		t.Errorf("decisive records: %v", decisive)
+	if needed, _ := table.Since(0, 100, NeededByEntryHosts, start); len(needed) != 2 || needed[0].Service != "llm" {
+		t.Errorf("records that entry hosts need: %v", needed)
 	}
 }
 
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -152,9 +152,9 @@
 
 // loadsOfOtherHosts returns what an entry host computes as the work of the others from LoadsSince.
 func loadsOfOtherHosts(r *Registry, host string) serverload.Loads {
-	told, _, _ := r.LoadsSince(0)
+	changed, _, _ := r.LoadsSince(0)
 	all := serverload.Loads{}
-	all.Apply(told)
+	all.Apply(changed)
 	if h := r.hosts[host]; h != nil {
 		return all.Without(h.Loads)
 	}
