--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -34,7 +34,7 @@
 	Permitted     []string        // regions that the residency rules permit
 	Forwarded     bool            // came from another entry host: only own servers may run it
 	Avoid         map[string]bool // failed servers and failure domains, by ID or name
-	ServerCrashes int             // number of servers whose process ended while they ran the request
+	ServerCrashes int             // number of server processes that crashed while running the request
 	Policy        configstate.Policy
 }
 
@@ -47,8 +47,8 @@
 // targetName is SummaryName of the job's target.
 func (j *Job) targetName() string { return SummaryName(j.Kind, j.Target) }
 
-// SummaryName returns the name of a target in summaries. It distinguishes models and services of the
-// same name.
+// SummaryName returns the name of a target in summaries. It distinguishes models and services of
+// the same name.
 func SummaryName(kind, target string) string { return kind + "/" + target }
 
 // Place is the destination of an attempt: a backend server or another failure domain.
@@ -192,8 +192,8 @@
 	return nil, w, d, nil
 }
 
-// noServerRetryAfter is the Retry-After for a refusal because no server was found: by then a lease may
-// have been renewed and a summary received.
+// noServerRetryAfter is the Retry-After for a refusal because no server was found: by then a
+// lease may have been renewed and a summary received.
 const noServerRetryAfter = 2 * time.Second
 
 // Cancel removes a waiting job. It reports false if the job was granted already.
@@ -226,7 +226,8 @@
 		}
 		j := s.waiting[w]
 		delete(s.waiting, w)
-		// The decision was made for the first job of the target; another job may get another one.
+		// Next called the function once per target, for the target's first job; the decision for
+		// this job may differ.
 		if d = s.decide(j, now); d.Kind == routing.NoTarget {
 			err := failure.New(failure.NoServer, failure.NotRun, "no permitted backend server or failure domain can take this request").WithRetryAfter(noServerRetryAfter)
 			out = append(out, Grant{Waiter: w, Err: err})
@@ -294,8 +295,8 @@
 	return out
 }
 
-// assumedPrefillRate is the prefill rate assumed for servers in other failure domains, in tokens per
-// second.
+// assumedPrefillRate is the prefill rate assumed for servers in other failure domains, in tokens
+// per second.
 const assumedPrefillRate = 8000
 
 // stickyPeriod is how long after a forward a failure domain counts as in use, for the same target.
@@ -429,8 +430,8 @@
 
 // share is an exponentially decaying share of requests sent to another region.
 type share struct {
-	away, total float64
-	last        time.Time
+	otherRegion, total float64
+	last               time.Time
 }
 
 // shareHalfLife is the half-life of the counts in a share.
@@ -439,16 +440,16 @@
 func (s *share) decay(now time.Time) {
 	if !s.last.IsZero() {
 		f := math.Exp2(-now.Sub(s.last).Seconds() / shareHalfLife.Seconds())
-		s.away, s.total = s.away*f, s.total*f
+		s.otherRegion, s.total = s.otherRegion*f, s.total*f
 	}
 	s.last = now
 }
 
-func (s *share) add(away bool, now time.Time) {
+func (s *share) add(otherRegion bool, now time.Time) {
 	s.decay(now)
 	s.total++
-	if away {
-		s.away++
+	if otherRegion {
+		s.otherRegion++
 	}
 }
 
@@ -457,5 +458,5 @@
 func (s *share) value(now time.Time) float64 {
 	s.decay(now)
 	const prior = 5
-	return s.away / (s.total + prior)
+	return s.otherRegion / (s.total + prior)
 }
--- a/internal/core/quota/issuer.go
+++ b/internal/core/quota/issuer.go
@@ -25,8 +25,8 @@
 	Bound Bound
 	// Restored is the state that was stored last; nil if there is none.
 	Restored *pb.QuotaState
-	// FirstStart reports that no issuer ran on this control host before. Any other issuer without stored
-	// state gives out nothing of its own part for the duration Settle.
+	// FirstStart reports that no issuer ran on this control host before. Any other issuer
+	// without stored state gives out nothing of its own part for the duration SettlePeriod.
 	FirstStart   bool
 	SettlePeriod time.Duration
 }
@@ -55,7 +55,8 @@
 	refused       float64 // units needed and not granted, since the start
 	// largestAsk is the largest number of units that one ask needed.
 	largestAsk float64
-	// deferred is the number of units needed by asks that were told to come back later.
+	// deferred is the number of units that were needed and not granted, for which the askers
+	// will ask again.
 	deferred   float64
 	deferredAt time.Time
 	inForce    bool
@@ -324,10 +325,10 @@
 	has := i.grantable(p, now)
 	given := min(needed, has)
 	s := &pb.QuotaShare{}
-	if lacks := needed - given; lacks > 0 {
-		p.demand.add(lacks, now)
-		p.deferred += lacks
-		p.refused += lacks
+	if shortfall := needed - given; shortfall > 0 {
+		p.demand.add(shortfall, now)
+		p.deferred += shortfall
+		p.refused += shortfall
 		s.MoreInMs = i.moreInMS(p, now)
 	}
 	s.Granted = given + min(ahead, aheadShare*(has-given))
@@ -357,11 +358,11 @@
 
 // moreInMS returns the expected time, in ms, until the units of deferred asks are free.
 func (i *Issuer) moreInMS(p *allotment, now time.Time) uint64 {
-	lacks := p.deferred - max(0, p.free)
-	if lacks <= 0 {
+	shortfall := p.deferred - max(0, p.free)
+	if shortfall <= 0 {
 		return uint64(storeDelay.Milliseconds())
 	}
-	in, ok := p.returns.timeUntil(lacks, now)
+	in, ok := p.returns.timeUntil(shortfall, now)
 	if !ok {
 		in = i.o.Bound.Window
 	}
@@ -392,21 +393,21 @@
 	delete(p.lent, from)
 	given := 0.0
 	if i.active {
-		lends := totalUnits(p.lent) + kept
+		lentUnits := totalUnits(p.lent) + kept
 		spare := min(p.free-p.demand.rateAt(now)*reservePeriod.Seconds(), p.loans.available())
-		spare = min(spare, p.base-lends) // borrowed units are not lent on
+		spare = min(spare, p.base-lentUnits) // borrowed units are not lent on
 		given = min(nonNegative(m.Needed), max(0, spare)/2)
 	}
 	p.free -= given
 	p.loans.use(given)
-	if lends := kept + given; lends > 0 {
-		p.lent[from] = leasedUnits{lends, now.Add(LoanLease)}
+	if lentUnits := kept + given; lentUnits > 0 {
+		p.lent[from] = leasedUnits{lentUnits, now.Add(LoanLease)}
 	}
 	return given
 }
 
-// ComposeBorrowAsk returns the ask to send to one of the given number of lenders, and removes the units that
-// the ask returns; nil if there is nothing to send.
+// ComposeBorrowAsk returns the ask to send to one of the given number of lenders, and removes
+// the units that the ask returns; nil if there is nothing to send.
 func (i *Issuer) ComposeBorrowAsk(lender string, lenders int, now time.Time) *pb.QuotaAsk {
 	ask := &pb.QuotaAsk{Transfer: true}
 	for _, name := range slices.Sorted(maps.Keys(i.allotments)) {
@@ -420,8 +421,8 @@
 			p.free -= m.Returned
 			p.borrowed[lender] = leasedUnits{m.Kept, l.until}
 		}
-		if lacks := demand*borrowPeriod.Seconds() - p.free; lacks > 1 && p.inForce {
-			m.Needed = lacks / float64(lenders)
+		if shortfall := demand*borrowPeriod.Seconds() - p.free; shortfall > 1 && p.inForce {
+			m.Needed = shortfall / float64(lenders)
 		}
 		if m.Returned == 0 && m.Kept == 0 {
 			delete(p.borrowed, lender)
@@ -463,8 +464,8 @@
 	maxStoredFactor    = 4                      // times what is not free or may soon be given out
 )
 
-// StateToStore returns the state to store now; nil if the stored state still suffices. After a non-nil
-// result the caller calls Stored or NotStored.
+// StateToStore returns the state to store now; nil if the stored state still suffices. After a
+// non-nil result the caller calls ConfirmStored or InvalidateStored.
 func (i *Issuer) StateToStore(now time.Time) *pb.QuotaState {
 	if i.settling(now) {
 		return nil
@@ -473,11 +474,11 @@
 	out := &pb.QuotaState{Teams: map[string]*pb.QuotaUnits{}}
 	for name, p := range i.allotments {
 		i.update(p, now)
-		spent, lends := p.spent(), totalUnits(p.lent)
+		spent, lentUnits := p.spent(), totalUnits(p.lent)
 		grants := max(0, min(p.demand.rateAt(now)*storeAheadPeriod.Seconds()+storeAheadFraction*p.size()+storeLargestFactor*p.largestAsk, p.free))
 		loans := max(0, min(storeAheadFraction*p.size(), p.free))
-		due = due || p.grants.needsStore(grants, spent) || p.loans.needsStore(loans, lends)
-		out.Teams[name] = &pb.QuotaUnits{Spent: spent + grants, Lent: lends + loans, Own: max(p.base, p.formerBase.units), Back: p.returns.toProto(now)}
+		due = due || p.grants.needsStore(grants, spent) || p.loans.needsStore(loans, lentUnits)
+		out.Teams[name] = &pb.QuotaUnits{Spent: spent + grants, Lent: lentUnits + loans, Own: max(p.base, p.formerBase.units), Back: p.returns.toProto(now)}
 	}
 	if !due {
 		return nil
@@ -490,7 +491,7 @@
 	return out
 }
 
-// ConfirmStored applies that a state returned by ToStore has been stored.
+// ConfirmStored records that a state returned by StateToStore has been stored.
 func (i *Issuer) ConfirmStored(s *pb.QuotaState) {
 	for name, u := range s.GetTeams() {
 		if p := i.allotments[name]; p != nil {
@@ -500,8 +501,8 @@
 	}
 }
 
-// InvalidateStored records that a store failed and the stored state is unknown: nothing more is given out
-// until a later store succeeds.
+// InvalidateStored records that a store failed and the stored state is unknown: nothing more is
+// given out until a later store succeeds.
 func (i *Issuer) InvalidateStored() {
 	for _, p := range i.allotments {
 		p.grants, p.loans = allowance{}, allowance{}
