--- a/deploy/demo.sh
+++ b/deploy/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts the railhalt sample on this machine, runs the main job on the files in
-# examples/, prints what happened, and ends everything it started.
+# Starts the railhalt sample on this machine, runs the main use cases on the files in
+# examples/, prints the results, and stops everything that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 say() { printf '\n\033[1m%s\033[0m\n' "$*"; }
@@ -18,7 +18,8 @@
 until ctl apply -f deploy/railhalt/record.toml -reason 'first record' 2>/dev/null; do sleep 0.2; done
 ready() { curl -sf -o /dev/null "http://$1:8080/readyz"; }
 for r in 1 2 3; do for n in 1 2 3; do until ready "127.20.$r.$n"; do sleep 0.1; done; done; done
-# A host's ledger votes, and new keys count as new, one clock skew (5 s) after it formed.
+# A ledger replica votes, and new idempotency keys are accepted as new, only once the bound on
+# clock skew (5 s) has passed since the ledger was formed.
 sleep 6
 
 say '2. A chat answer as a stream: a dealer of africa-south enters in mauritius-east'
--- a/deploy/down.sh
+++ b/deploy/down.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Ends a sample deployment that deploy/up.sh started: deploy/down.sh archive|railhalt
+# Stops a sample deployment that deploy/up.sh started: deploy/down.sh archive|railhalt
 set -euo pipefail
 cd "$(dirname "$0")/.."
 pids="run/$1/pids"
--- a/deploy/up.sh
+++ b/deploy/up.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Starts a sample deployment on this machine: deploy/up.sh archive|railhalt
-# Every host has an address of its own in 127.0.0.0/8. Process IDs go to
-# run/<name>/pids, logs to run/<name>/*.log. deploy/down.sh ends it.
+# Each host has its own address in 127.0.0.0/8. Process IDs are written to
+# run/<name>/pids, logs to run/<name>/*.log. deploy/down.sh stops the deployment.
 set -euo pipefail
 name=$1
 cd "$(dirname "$0")/.."
@@ -19,7 +19,7 @@
 
 for f in deploy/"$name"/control-*.toml; do
   id=$(basename "$f" .toml | sed 's/^control-//')
-  # The group is formed once: an existing data folder is left as it is.
+  # Forms the control group on the first start only; an existing data directory is kept.
   [ -d "run/$name/$id" ] || "$bin/sesame-control" -settings "$f" -format
   start "$id" "$bin/sesame-control" -settings "$f"
 done
