--- a/deploy/demo.sh
+++ b/deploy/demo.sh
@@ -18,8 +18,8 @@
 until ctl apply -f deploy/railhalt/record.toml -reason 'first record' 2>/dev/null; do sleep 0.2; done
 ready() { curl -sf -o /dev/null "http://$1:8080/readyz"; }
 for r in 1 2 3; do for n in 1 2 3; do until ready "127.20.$r.$n"; do sleep 0.1; done; done; done
-# A ledger replica votes, and new idempotency keys are accepted as new, only once the bound on
-# clock skew (5 s) has passed since the ledger was formed.
+# The ledger runs no request whose idempotency key was issued before the birth time of the
+# ledger's generation, which is set to its formation time plus the bound on clock skew (5 s).
 sleep 6
 
 say '2. A chat answer as a stream: a dealer of africa-south enters in mauritius-east'
