--- a/internal/app/forward/forward.go
+++ b/internal/app/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward holds what the forwards of all requests share: headers and the end
-// of an answer, as they travel between hosts.
+// Package forward encodes what all forwarded requests have in common: HTTP headers and the end of
+// an answer, as sent between hosts.
 package forward
 
 import (
@@ -30,7 +30,7 @@
 	return out
 }
 
-// End returns the frame that ends an answer: complete without a failure.
+// End returns the frame that ends an answer: complete if f is nil.
 func End(f *failure.Error) *pb.ForwardFrame {
 	end := &pb.ForwardEnd{Complete: f == nil, Outcome: string(failure.Done)}
 	if f != nil {
@@ -40,7 +40,7 @@
 	return &pb.ForwardFrame{Frame: &pb.ForwardFrame_End{End: end}}
 }
 
-// Failure returns the failure that an end states.
+// Failure returns the failure in an end frame.
 func Failure(end *pb.ForwardEnd) *failure.Error {
 	f := failure.New(failure.Code(end.Code), failure.Outcome(end.Outcome), "%s", end.Detail)
 	return f.WithRetryAfter(time.Duration(end.RetryAfterMs) * time.Millisecond)
--- a/internal/app/forward/forward_test.go
+++ b/internal/app/forward/forward_test.go
@@ -10,14 +10,14 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-func TestHeadersAreKept(t *testing.T) {
+func TestHeadersRoundTrip(t *testing.T) {
 	in := http.Header{"X-One": {"a"}, "X-Two": {"b", "c"}}
 	if got := ReadHeaders(Headers(in)); !maps.EqualFunc(got, in, slices.Equal) {
 		t.Errorf("got %v, want %v", got, in)
 	}
 }
 
-func TestEndsAreKept(t *testing.T) {
+func TestEndRoundTrip(t *testing.T) {
 	if end := End(nil).GetEnd(); !end.Complete || end.Outcome != string(failure.Done) {
 		t.Errorf("complete: %v", end)
 	}
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,5 @@
-// Package failure defines the typed failures that the system reports to
-// callers and operators. It is free of any transport; package problem writes
-// failures to HTTP.
+// Package failure defines the typed failures that the system reports to callers and operators. It
+// does not depend on a transport; package problem encodes failures for HTTP.
 package failure
 
 import (
@@ -10,12 +9,12 @@
 	"github.com/juju/errors"
 )
 
-// Outcome states what is known about the execution of a request.
+// Outcome states whether a request was executed.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// Done means that the request ran and its whole answer is at hand.
+	// Done means that the request ran and its complete answer is available.
 	Done Outcome = "done"
 	// NotRun means that the request provably did not start on any backend server.
 	NotRun Outcome = "not_run"
@@ -23,7 +22,7 @@
 	Unknown Outcome = "unknown"
 )
 
-// Code names a kind of failure. Codes are stable: clients may match on them.
+// Code identifies a kind of failure. Codes are stable: callers may match on them.
 type Code string
 
 // Failure codes.
@@ -129,8 +128,8 @@
 	Code       Code
 	Outcome    Outcome
 	Detail     string
-	RetryAfter time.Duration // zero when coming back is pointless
-	EntryHosts []string      // hosts to use instead
+	RetryAfter time.Duration // zero if a retry would be pointless
+	EntryHosts []string      // entry hosts to use instead
 	Version    uint64        // current configuration version, for VersionConflict
 	Cause      error
 }
@@ -153,22 +152,23 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// WithRetryAfter returns e with the time after which to come back.
+// WithRetryAfter sets the time after which the caller should retry, and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// WithEntryHosts returns e with the entry hosts to use instead.
+// WithEntryHosts sets the entry hosts to use instead, and returns e.
 func (e *Error) WithEntryHosts(hosts []string) *Error {
 	e.EntryHosts = hosts
 	return e
 }
 
-// Title returns the one-line summary of the failure's code.
+// Title returns a one-line summary of the failure's code.
 func (e *Error) Title() string { return titles[e.Code] }
 
-// As returns err as an *Error. Any other error becomes Internal with outcome.
+// As returns the *Error in err's chain; nil for a nil err. An error without one becomes Internal
+// with the given outcome.
 func As(err error, outcome Outcome) *Error {
 	if err == nil {
 		return nil
@@ -180,7 +180,7 @@
 	return Wrap(err, Internal, outcome)
 }
 
-// Is reports whether err carries the code.
+// Is reports whether err's chain contains an *Error with the code.
 func Is(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -1,5 +1,5 @@
-// Package port declares what the use cases need from the outside. Adapters
-// implement these interfaces; tests use small fakes.
+// Package port declares the interfaces between the use cases and their environment. Adapters
+// implement them; tests use small fakes.
 package port
 
 import (
@@ -10,44 +10,44 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Clock tells the time.
+// Clock returns the present time.
 type Clock interface {
 	Now() time.Time
 }
 
-// SystemClock is the machine's clock.
+// SystemClock is the operating system's clock.
 type SystemClock struct{}
 
 // Now implements Clock.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// Journal makes a replica's state durable.
+// Journal stores a replica's state durably.
 type Journal interface {
-	// Append returns after the record is synced. After an error the journal
-	// refuses everything: what is on the disk is not known any more.
+	// Append returns after the record is synced to disk. After an error the journal rejects all
+	// further calls, as the content of the disk is unknown.
 	Append(*pb.JournalRecord) error
-	// SaveSnapshot makes the snapshot durable and replaces the records by tail.
+	// SaveSnapshot stores the snapshot durably and replaces the records by tail.
 	SaveSnapshot(s *pb.SnapshotFile, tail *pb.JournalRecord) error
 	// Close releases the journal.
 	Close() error
 }
 
-// QuotaStore keeps what a control host may have given out of the teams' quotas.
+// QuotaStore stores the units of the teams' quotas that a control host may have granted.
 type QuotaStore interface {
-	// Save returns after the state is synced in the place of the one before.
+	// Save returns after the state is synced to disk and has replaced the previous one.
 	Save(*pb.QuotaState) error
-	// Load returns what was last saved; nil when nothing was.
+	// Load returns the state that was saved last; nil if there is none.
 	Load() (*pb.QuotaState, error)
 }
 
-// Identity names a store. It is written once, when the data folder is formatted.
+// Identity identifies a store. It is written once, when the data directory is formatted.
 type Identity struct {
 	Format uint32 `json:"format"`
 	Group  string `json:"group"` // control group and its generation
 	Store  string `json:"store"` // replica ID in the control group
 	Host   string `json:"host"`
-	// Founders are the group's first members as this store was told them. They
-	// are kept here because the settings may name other hosts later.
+	// Founders are the group's first members, as given to this store when it was formatted. They
+	// are stored because the settings may list other hosts later.
 	Founders []Founder `json:"founders,omitempty"`
 }
 
@@ -57,61 +57,61 @@
 	Address string `json:"address"`
 }
 
-// JournalState is what a journal held when it was opened.
+// JournalState is the content of a journal when it is opened.
 type JournalState struct {
 	Identity  Identity
 	HardState *pb.HardState
-	Snapshot  *pb.SnapshotFile // nil when none was saved
+	Snapshot  *pb.SnapshotFile // nil if none was saved
 	Entries   []*pb.RaftEntry
-	CutBytes  int64 // length of a torn tail that was cut off
+	CutBytes  int64 // bytes of a torn tail that was cut off
 }
 
 // Peers sends messages to other hosts by address.
 type Peers interface {
 	// Call sends a request and waits for its response.
 	Call(ctx context.Context, addr string, req *pb.Request) (*pb.Response, error)
-	// Open starts a forward. sent tells whether any byte of the request may
-	// have reached the other host when err is not nil.
+	// Open starts a forward. If err is not nil, sent reports whether any byte of the request may
+	// have reached the other host.
 	Open(ctx context.Context, addr string, req *pb.Request, body []byte) (s ForwardStream, sent bool, err error)
 }
 
-// ForwardStream carries the frames of a forwarded request's answer.
+// ForwardStream receives the frames of a forwarded request's answer.
 type ForwardStream interface {
 	Recv() (*pb.ForwardFrame, error)
 	Close() error
 }
 
-// IncomingStream is a forward that another host sent here.
+// IncomingStream is a forward received from another host.
 type IncomingStream interface {
 	// Body reads the body that follows the forward.
 	Body(size, limit uint64) ([]byte, error)
-	// Send writes a frame of the answer.
+	// Send sends a frame of the answer.
 	Send(*pb.ForwardFrame) error
-	// Gone returns a context that ends when the other host closes the stream. No
-	// reads may follow.
+	// Gone returns a context that ends when the other host closes the stream. The stream must not
+	// be read afterwards.
 	Gone(context.Context) (context.Context, context.CancelFunc)
 }
 
-// PeerHandler answers other hosts. HandleForward writes its answer to the stream;
-// every other request returns a response.
+// PeerHandler handles requests of other hosts. HandleForward writes its answer to the stream; for
+// every other request HandleRequest returns a response.
 type PeerHandler interface {
 	HandleRequest(ctx context.Context, req *pb.Request) *pb.Response
 	HandleForward(ctx context.Context, req *pb.Request, s IncomingStream)
 }
 
-// Metrics counts, and measures times.
+// Metrics records counts and durations.
 type Metrics interface {
 	Add(name string, n int64)
 	Observe(name string, d time.Duration)
 }
 
-// GaugedMetrics are metrics that also ask for values when they are read.
+// GaugedMetrics are Metrics with values that are computed when they are read.
 type GaugedMetrics interface {
 	Metrics
 	Gauge(name string, f func() any)
 }
 
-// DirectoryEntry is one entry host in the platform's client directory.
+// DirectoryEntry is one entry host in the platform's directory.
 type DirectoryEntry struct {
 	ID            string `json:"id"`
 	URL           string `json:"url"`
@@ -119,7 +119,7 @@
 	FailureDomain string `json:"failure_domain"`
 }
 
-// Directory is the platform's directory for clients.
+// Directory is the platform's directory of entry hosts for callers.
 type Directory interface {
 	Publish(ctx context.Context, region string, hosts []DirectoryEntry, ttl time.Duration) error
 }
@@ -134,13 +134,13 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Engines gives orders to model engines.
+// Engines sends orders to model engines.
 type Engines interface {
-	// Order returns whether the engine checked the fencing number.
+	// Order reports whether the engine checked the fencing number.
 	Order(ctx context.Context, address string, o Order) (checked bool, err error)
 }
 
-// BackendCall is one attempt at a backend server.
+// BackendCall is one attempt to send a request to a backend server.
 type BackendCall struct {
 	Address      string
 	Method       string
@@ -156,22 +156,22 @@
 	Status int
 	Header map[string][]string
 	Body   io.ReadCloser
-	// Refused is set when the server states that it did not start the request.
+	// Refused is set if the server states that it did not start the request.
 	Refused bool
 }
 
-// Backends calls backend servers. sent tells whether any byte of the request
-// may have reached the server when err is not nil.
+// Backends sends requests to backend servers. If err is not nil, sent reports whether any byte of
+// the request may have reached the server.
 type Backends interface {
 	Do(ctx context.Context, c BackendCall) (a *BackendAnswer, sent bool, err error)
 }
 
-// Listening is what an address says to a new connection.
+// Listening is the result of opening a connection to an address.
 type Listening int
 
-// Answers to a new connection.
+// Results of opening a connection.
 const (
-	NoAnswer Listening = iota // the host is down, or the way there is cut
+	NoAnswer Listening = iota // the host is down or cannot be reached
 	Accepts                   // a process listens
 	Refuses                   // the host answers, and no process listens
 )
@@ -181,7 +181,7 @@
 	return [...]string{"no answer", "accepts", "refuses"}[l]
 }
 
-// ListenProbe asks whether a process listens at an address.
+// ListenProbe checks whether a process listens at an address.
 type ListenProbe interface {
 	Listening(ctx context.Context, addr string) Listening
 }
--- a/internal/port/trace.go
+++ b/internal/port/trace.go
@@ -6,20 +6,21 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// traceContext carries a trace between processes in the W3C form.
+// traceContext encodes spans in the W3C Trace Context format.
 var traceContext = propagation.TraceContext{}
 
-// TraceparentHeader is the W3C header's name.
+// TraceparentHeader is the name of the W3C Trace Context header.
 const TraceparentHeader = "Traceparent"
 
-// Traceparent returns the span of ctx in the W3C form; "" without one.
+// Traceparent returns the span of ctx in the W3C format; "" if there is none.
 func Traceparent(ctx context.Context) string {
 	h := propagation.HeaderCarrier{}
 	traceContext.Inject(ctx, h)
 	return h.Get(TraceparentHeader)
 }
 
-// WithTraceparent returns ctx with the remote span that traceparent names.
+// WithTraceparent returns ctx with the remote span that traceparent identifies, or ctx itself if
+// traceparent is empty.
 func WithTraceparent(ctx context.Context, traceparent string) context.Context {
 	if traceparent == "" {
 		return ctx
