--- a/internal/app/crashwatch/crashwatch.go
+++ b/internal/app/crashwatch/crashwatch.go
@@ -44,8 +44,8 @@
 
 	mu       sync.Mutex
 	table    *quarantine.Table
-	breaks   *quarantine.Breaks
-	checks   map[quarantine.Start]*check
+	breaks   *quarantine.CrashDetector
+	checks   map[quarantine.ServerProcess]*check
 	onChange func()
 }
 
@@ -58,8 +58,8 @@
 // New returns a Watch without records.
 func New(o Options) *Watch {
 	return &Watch{
-		o: o, table: quarantine.New(o.Quarantine), breaks: quarantine.NewBreaks(o.AnnounceEvery),
-		checks: map[quarantine.Start]*check{},
+		o: o, table: quarantine.New(o.Quarantine), breaks: quarantine.NewCrashDetector(o.AnnounceEvery),
+		checks: map[quarantine.ServerProcess]*check{},
 	}
 }
 
@@ -81,13 +81,13 @@
 	if j.Verdict != quarantine.Quarantined && j.Verdict != quarantine.Busy {
 		return j, nil
 	}
-	w.o.Log.Info("request refused as a crashing one", "request_id", requestID, "fingerprint", f.String(), "verdict", j.Verdict.String(), "ends", j.Ends)
+	w.o.Log.Info("request refused as a crashing one", "request_id", requestID, "fingerprint", f.String(), "verdict", j.Verdict.String(), "ends", j.ServerCrashes)
 	if j.Verdict == quarantine.Quarantined {
 		w.o.Metrics.Add("refused_quarantined", 1)
-		return j, failure.New(failure.Quarantined, failure.NotRun, "%d servers ended while running the request; fingerprint %s", j.Ends, f)
+		return j, failure.New(failure.Quarantined, failure.NotRun, "%d servers ended while running the request; fingerprint %s", j.ServerCrashes, f)
 	}
 	w.o.Metrics.Add("refused_suspected", 1)
-	return j, failure.New(failure.Suspected, failure.NotRun, "%d servers ended while running the request, and the verdict is pending; fingerprint %s", j.Ends, f).
+	return j, failure.New(failure.Suspected, failure.NotRun, "%d servers ended while running the request, and the verdict is pending; fingerprint %s", j.ServerCrashes, f).
 		WithRetryAfter(busyRetryAfter)
 }
 
@@ -107,14 +107,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before := w.table.Judge(f, w.o.Clock.Now())
-	if w.table.Served(f, w.o.Clock.Now()) && before.Ends > 1 {
-		w.o.Log.Info("suspicion ended", "fingerprint", f.String(), "ends", before.Ends, "verdict", before.Verdict.String(), "reason", "a server answered it")
+	if w.table.RecordAnswer(f, w.o.Clock.Now()) && before.ServerCrashes > 1 {
+		w.o.Log.Info("suspicion ended", "fingerprint", f.String(), "ends", before.ServerCrashes, "verdict", before.Verdict.String(), "reason", "a server answered it")
 	}
 }
 
 // Broken records that a server broke the connection of a request. It blocks until the server has
 // been probed, unless its process is already proved to have ended.
-func (w *Watch) Broken(b quarantine.Break, e quarantine.Evidence) {
+func (w *Watch) Broken(b quarantine.ConnectionBreak, e quarantine.Evidence) {
 	e.Server = b.Start.Key()
 	w.mu.Lock()
 	if w.breaks.Add(b, e, w.o.Clock.Now()) {
@@ -133,21 +133,21 @@
 }
 
 // RecordCrash records proof that the server's process ended while it ran a request.
-func (w *Watch) RecordCrash(b quarantine.Break, e quarantine.Evidence) {
+func (w *Watch) RecordCrash(b quarantine.ConnectionBreak, e quarantine.Evidence) {
 	e.Server = b.Start.Key()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.countLocked([]quarantine.Evidence{e}, "another process runs under the server's ID")
 }
 
-func (w *Watch) checkServer(b quarantine.Break, c *check) {
+func (w *Watch) checkServer(b quarantine.ConnectionBreak, c *check) {
 	answer := w.probe(b)
 	close(c.done)
 	if answer == port.Accepts {
 		time.Sleep(recheckDelay)
 		answer = w.probe(b)
 	}
-	w.o.Log.Info("server checked after it broke off requests", "server", b.Start.ID, "start", b.Start.Born, "address", b.Address, "listening", answer.String())
+	w.o.Log.Info("server checked after it broke off requests", "server", b.Start.ID, "start", b.Start.StartID, "address", b.Address, "listening", answer.String())
 	time.AfterFunc(checkValidity, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -159,7 +159,7 @@
 
 // probe checks whether a process listens at the server's address, and records a crash if none
 // does.
-func (w *Watch) probe(b quarantine.Break) port.Listening {
+func (w *Watch) probe(b quarantine.ConnectionBreak) port.Listening {
 	if w.o.Probe == nil {
 		return port.NoAnswer
 	}
@@ -169,7 +169,7 @@
 	if answer == port.Refuses {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.countLocked(w.breaks.Refused(b.Start), "no process listens at the server's address")
+		w.countLocked(w.breaks.ConnectionRefused(b.Start), "no process listens at the server's address")
 	}
 	return answer
 }
@@ -184,31 +184,31 @@
 // Heard compares the records with the servers' last announcements. Another process under a
 // server's ID or at its address proves that the server ended; a later announcement of the same
 // process disproves it.
-func (w *Watch) Heard(servers []quarantine.Sighting) {
+func (w *Watch) Heard(servers []quarantine.Announcement) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.o.Clock.Now()
-	proved, alive := w.breaks.Heard(servers, now)
+	proved, alive := w.breaks.ObserveAnnouncements(servers, now)
 	w.countLocked(proved, "another process announced itself under the server's ID or at its address")
 	for _, key := range alive {
-		for _, f := range w.table.Alive(key, now) {
+		for _, f := range w.table.RecordAlive(key, now) {
 			w.o.Log.Info("evidence taken back", "fingerprint", f.String(), "server_key", key, "reason", "the server announced itself again")
 		}
 	}
-	w.table.Forget(now)
+	w.table.RemoveExpired(now)
 }
 
 // countLocked records crashes of servers for the requests that they were running.
 func (w *Watch) countLocked(list []quarantine.Evidence, proof string) {
 	now, added := w.o.Clock.Now(), false
 	for _, e := range list {
-		j, counted := w.table.Ended(e, now)
+		j, counted := w.table.RecordCrash(e, now)
 		if !counted {
 			continue
 		}
 		added = true
 		w.o.Metrics.Add("servers_ended_under_requests", 1)
-		if j.Ends > 1 {
+		if j.ServerCrashes > 1 {
 			w.logVerdict(quarantine.Change{Fingerprint: e.Fingerprint, After: j, Team: e.Team, Service: e.Service, Release: e.Release}, "proof", proof, "server_key", e.Server)
 		}
 	}
@@ -221,16 +221,16 @@
 func (w *Watch) logVerdict(c quarantine.Change, kv ...any) {
 	event := "request suspected"
 	switch {
-	case c.After.Ends >= quarantine.Crashes:
+	case c.After.ServerCrashes >= quarantine.CrashThreshold:
 		event = "request quarantined"
 		w.o.Metrics.Add("requests_quarantined", 1)
-	case c.After.Ends == 0:
+	case c.After.ServerCrashes == 0:
 		event = "quarantine or suspicion lifted"
 	}
-	attrs := []any{"fingerprint", c.Fingerprint.String(), "team", c.Team, "service", c.Service, "release", c.Release, "ends", c.After.Ends}
-	last := c.After.Last
-	if c.After.Ends == 0 {
-		last = c.Before.Last // After holds no crash
+	attrs := []any{"fingerprint", c.Fingerprint.String(), "team", c.Team, "service", c.Service, "release", c.Release, "ends", c.After.ServerCrashes}
+	last := c.After.LastCrash
+	if c.After.ServerCrashes == 0 {
+		last = c.Before.LastCrash // After holds no crash
 	}
 	if !last.IsZero() {
 		attrs = append(attrs, "since_ms", max(0, w.o.Clock.Now().Sub(last).Milliseconds()))
@@ -246,14 +246,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.table.Merge(records, w.o.Clock.Now()) {
-		if c.After.Ends > 1 || c.Before.Ends > 1 {
+		if c.After.ServerCrashes > 1 || c.Before.ServerCrashes > 1 {
 			w.logVerdict(c, "told_by", from)
 		}
 	}
 }
 
 // Since returns records to send to another host; see quarantine.Table.
-func (w *Watch) Since(revision uint64, most int, wanted quarantine.Wanted) ([]*pb.QuarantineRecord, uint64) {
+func (w *Watch) Since(revision uint64, most int, wanted quarantine.RecordFilter) ([]*pb.QuarantineRecord, uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.table.Since(revision, most, wanted, w.o.Clock.Now())
--- a/internal/app/gateway/control_selection_test.go
+++ b/internal/app/gateway/control_selection_test.go
@@ -87,7 +87,7 @@
 	control.staleness = time.Minute
 	control.mu.Unlock()
 	// The control host that fell behind is avoided until the others' last answers are stale, too.
-	outOfDate := f.clock.Now().Add(controlhosts.MaxStaleness + controlhosts.Avoid)
+	outOfDate := f.clock.Now().Add(controlhosts.MaxStaleness + controlhosts.AvoidDuration)
 	f.await("no control host is up to date any more", func() bool { return f.clock.Now().After(outOfDate) })
 	control.mu.Lock()
 	clear(control.syncs)
@@ -116,12 +116,12 @@
 	if got := f.g.nextCheckIn(); got != syncRetryDelay {
 		t.Errorf("no answer yet: next check in %s", got)
 	}
-	f.g.control.answers.Note("c", controlhosts.SameDomain, 0, f.clock.Now())
+	f.g.control.answers.RecordAnswer("c", controlhosts.SameDomain, 0, f.clock.Now())
 	if got := f.g.nextCheckIn(); got != steadyCheckInterval {
 		t.Errorf("just answered: next check in %s", got)
 	}
 	f.clock.advance(steadyCheckInterval)
-	if got := f.g.nextCheckIn(); got != syncRetryDelay || steadyCheckInterval >= controlhosts.Lost {
+	if got := f.g.nextCheckIn(); got != syncRetryDelay || steadyCheckInterval >= controlhosts.ContactTimeout {
 		t.Errorf("no answer for %s: next check in %s", steadyCheckInterval, got)
 	}
 }
--- a/internal/app/gateway/controlhosts.go
+++ b/internal/app/gateway/controlhosts.go
@@ -16,7 +16,7 @@
 	seeds   []string
 	listed  []string // from the list that was received last
 	byAddr  map[string]*controlHost
-	answers controlhosts.Heard
+	answers controlhosts.Contacts
 	// hostListFrom is the control host whose list of entry hosts was applied last, at hostListAt.
 	hostListFrom *controlHost
 	hostListAt   time.Time
@@ -143,10 +143,10 @@
 	var candidates []controlhosts.Candidate
 	for _, addr := range c.allLocked() {
 		h := c.hostLocked(addr)
-		if h.domain != "" && !c.answers.Asks(g.distance(h.domain), configured, age, now) {
+		if h.domain != "" && !c.answers.ShouldQuery(g.distance(h.domain), configured, age, now) {
 			continue
 		}
-		candidates = append(candidates, controlhosts.Candidate{Address: addr, Domain: h.domain, Named: h.named, AvoidUntil: h.avoidUntil})
+		candidates = append(candidates, controlhosts.Candidate{Address: addr, Domain: h.domain, ReportedLive: h.named, AvoidUntil: h.avoidUntil})
 	}
 	var out []*controlHost
 	for _, chosen := range controlhosts.Choose(g.o.Host, candidates, now) {
@@ -212,7 +212,7 @@
 func (g *Gateway) nextCheckIn() time.Duration {
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
-	if g.control.answers.Calm(g.o.Clock.Now()) {
+	if g.control.answers.Stable(g.o.Clock.Now()) {
 		return steadyCheckInterval
 	}
 	return syncRetryDelay
@@ -227,7 +227,7 @@
 func (c *controlList) avoid(h *controlHost, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h.avoidUntil = now.Add(controlhosts.Avoid)
+	h.avoidUntil = now.Add(controlhosts.AvoidDuration)
 }
 
 // isPrimary reports whether a control host is this host's primary, which alone receives its
@@ -235,7 +235,7 @@
 func (g *Gateway) isPrimary(h *controlHost) bool {
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
-	return g.control.answers.Primary(h.addr, g.distance(h.domain), g.o.Clock.Now())
+	return g.control.answers.ClaimPrimary(h.addr, g.distance(h.domain), g.o.Clock.Now())
 }
 
 // recordAnswer records a control host's answer. It reports whether the entry hosts and the other
@@ -245,12 +245,12 @@
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
 	h.domain = view.HomeDomain
-	g.control.answers.Note(h.addr, g.distance(h.domain), staleness(view), now)
-	counts := g.control.answers.KnowsFleet(staleness(view), now)
+	g.control.answers.RecordAnswer(h.addr, g.distance(h.domain), staleness(view), now)
+	counts := g.control.answers.UsesFleetView(staleness(view), now)
 	if counts {
 		h.avoidUntil = time.Time{}
 	} else {
-		h.avoidUntil = now.Add(controlhosts.Avoid)
+		h.avoidUntil = now.Add(controlhosts.AvoidDuration)
 	}
 	return counts
 }
--- a/internal/app/gateway/crashes_test.go
+++ b/internal/app/gateway/crashes_test.go
@@ -42,7 +42,7 @@
 
 // crashCount returns the number of servers recorded as crashed while running the request.
 func (f *fixture) crashCount(path string) int {
-	records, _ := f.g.o.Crashes.Since(0, 100, quarantine.All)
+	records, _ := f.g.o.Crashes.Since(0, 100, quarantine.AllRecords)
 	want := fingerprintOf(f.request(path), nil)
 	for _, r := range records {
 		if string(r.Fingerprint) == string(want[:]) {
--- a/internal/app/gateway/fuzz_test.go
+++ b/internal/app/gateway/fuzz_test.go
@@ -59,7 +59,7 @@
 				return
 			}
 			if src.apply(v) {
-				fx.g.applyView(v, dispatch.Scope{Loads: true, Others: src.otherLoads(serverload.Loads{1: {Requests: 1}}), Fleet: true})
+				fx.g.applyView(v, dispatch.ViewScope{Loads: true, Others: src.otherLoads(serverload.Loads{1: {Requests: 1}}), Fleet: true})
 			}
 			fx.g.place(&execution{r: fx.request("/order/1"), record: fx.g.config.Load().Record, route: &fx.g.config.Load().Record.Routes[0], service: "llm", tried: map[string]bool{}, deadline: fx.clock.Now()})
 		}
--- a/internal/app/gateway/regions.go
+++ b/internal/app/gateway/regions.go
@@ -29,7 +29,7 @@
 		case <-t.C:
 		}
 		g.mu.Lock()
-		hosts := g.fleet.RegionsToAsk(g.o.Clock.Now())
+		hosts := g.fleet.HostsToQuery(g.o.Clock.Now())
 		g.mu.Unlock()
 		for _, h := range hosts {
 			go g.queryRegion(ctx, h)
@@ -62,7 +62,7 @@
 	g.o.Metrics.Add("regions_asked", 1)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.TakeRegion(h, loads, began.Add(now.Sub(began)/2), now)
+	g.fleet.ApplyRegionLoads(h, loads, began.Add(now.Sub(began)/2), now)
 }
 
 // regionLoads returns this region's loads for an entry host of another region.
--- a/internal/app/gateway/startup_test.go
+++ b/internal/app/gateway/startup_test.go
@@ -48,7 +48,7 @@
 // no configuration itself. Those of other regions are queried only if none of its region answers.
 func TestStartHearsTheRegionsControlHosts(t *testing.T) {
 	f := newStartingFixture(t)
-	f.g.control.answers.Note("c", controlhosts.SameDomain, 0, f.clock.Now())
+	f.g.control.answers.RecordAnswer("c", controlhosts.SameDomain, 0, f.clock.Now())
 	if f.g.asks(controlhosts.SameRegion) {
 		t.Error("other control hosts are queried before the nearest one had time to answer")
 	}
@@ -106,5 +106,5 @@
 	configured, age := g.config.Load() != nil, g.startup.Age(now)
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
-	return g.control.answers.Asks(d, configured, age, now)
+	return g.control.answers.ShouldQuery(d, configured, age, now)
 }
--- a/internal/app/gateway/sync.go
+++ b/internal/app/gateway/sync.go
@@ -89,7 +89,7 @@
 			}
 			continue
 		}
-		if p := controlhosts.Pause(primary, staleness(view)); p > 0 {
+		if p := controlhosts.QueryPause(primary, staleness(view)); p > 0 {
 			sleep(ctx, p)
 		}
 	}
@@ -102,9 +102,9 @@
 // that it has received with them. At first these are all records, as the control host may have
 // restarted, and then those that this host's own observations changed.
 func (g *Gateway) unsentCrashRecords(c *controlHost) (records []*pb.QuarantineRecord, next uint64) {
-	wanted := quarantine.Own
+	wanted := quarantine.LocalChanges
 	if !c.sentAll {
-		wanted = quarantine.All
+		wanted = quarantine.AllRecords
 	}
 	return g.o.Crashes.Since(c.sentRevision, maxCrashRecords, wanted)
 }
@@ -121,7 +121,7 @@
 }
 
 func (g *Gateway) acceptsConfig(v *pb.FleetView) bool {
-	return controlhosts.Takes(staleness(v), g.config.Load() != nil, g.startup.Age(g.o.Clock.Now()))
+	return controlhosts.AcceptsConfig(staleness(v), g.config.Load() != nil, g.startup.Age(g.o.Clock.Now()))
 }
 
 func staleness(v *pb.FleetView) time.Duration { return milliseconds(v.StalenessMs) }
@@ -196,8 +196,8 @@
 
 // viewScope returns which parts of a control host's view are to be used, and completes the
 // view's entry hosts by those of its earlier views.
-func (g *Gateway) viewScope(c *controlHost, view *pb.FleetView, primary bool, own serverload.Loads) dispatch.Scope {
-	scope := dispatch.Scope{Loads: primary, Fleet: g.recordAnswer(c, view)}
+func (g *Gateway) viewScope(c *controlHost, view *pb.FleetView, primary bool, own serverload.Loads) dispatch.ViewScope {
+	scope := dispatch.ViewScope{Loads: primary, Fleet: g.recordAnswer(c, view)}
 	if primary {
 		scope.Others = c.state.otherLoads(own)
 	}
@@ -226,19 +226,19 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	own := g.fleet.Loads(g.o.Clock.Now())
-	m.Loads, m.Prompts = serverload.Encode(own), holders.Encode(g.fleet.TakeSent())
+	m.Loads, m.Prompts = serverload.Encode(own), holders.Encode(g.fleet.TakeUnreportedPlaces())
 	return m, own
 }
 
-func (g *Gateway) applyView(v *pb.FleetView, scope dispatch.Scope) {
+func (g *Gateway) applyView(v *pb.FleetView, scope dispatch.ViewScope) {
 	if scope.Fleet {
 		g.control.update(v.ControlHosts)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.TakeView(v, scope, g.o.Clock.Now())
+	g.fleet.ApplyView(v, scope, g.o.Clock.Now())
 	close(g.viewChanged)
 	g.viewChanged = make(chan struct{})
-	g.budget.SetHosts(g.fleet.AllHosts())
+	g.budget.SetHosts(g.fleet.HostCount())
 	g.updateCrashWatch()
 }
