--- a/internal/app/control/bench_test.go
+++ b/internal/app/control/bench_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	have := &pb.FleetView{}
-	sync := func(i int) {
+	sendSync := func(i int) {
 		have = f.handleSync(context.Background(), &pb.FleetSync{
 			Host:      &pb.FleetHost{Id: fmt.Sprint("h", i%hosts), Region: "r", FailureDomain: "f", Ready: true},
 			HaveEpoch: have.Epoch, HaveVersion: have.Version, HaveHeard: have.HeardNext, HaveLoads: have.LoadsNext,
@@ -36,11 +36,11 @@
 		})
 	}
 	for i := range hosts {
-		sync(i)
+		sendSync(i)
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		sync(i)
+		sendSync(i)
 	}
 }
 
--- a/internal/app/control/changes_test.go
+++ b/internal/app/control/changes_test.go
@@ -25,41 +25,41 @@
 			t.Fatal(err)
 		}
 	}
-	present := func(have *pb.FleetView) *pb.FleetView {
+	sendSync := func(have *pb.FleetView) *pb.FleetView {
 		req := syncRequest("h1", "r", 0, nil)
 		m := req.GetFleetSync()
 		m.HaveEpoch, m.HaveVersion, m.HaveHeard, m.HaveLoads = have.Epoch, have.Version, have.HeardNext, have.LoadsNext
 		return host.r.HandleRequest(context.Background(), req).GetFleetView()
 	}
 	announce("a", "10.0.0.1:1", 1)
-	first := present(&pb.FleetView{})
+	first := sendSync(&pb.FleetView{})
 	if len(first.Servers) != 1 || len(first.Hosts) != 1 || first.Changes || len(first.ControlHosts) != 3 {
 		t.Fatalf("the first view is not complete: %v", first)
 	}
-	again := present(first)
+	again := sendSync(first)
 	if len(again.Servers) != 0 || len(again.Hosts) != 0 || !again.Changes || len(again.HeardServers) != 0 || len(again.ControlHosts) != 0 {
 		t.Errorf("nothing changed, but the view contains %v", again)
 	}
 	announce("a", "10.0.0.1:1", 2)
-	heard := present(again)
-	if len(heard.Servers) != 0 || len(heard.HeardServers) != 1 || heard.HeardServers[0] != holders.Key("a") || len(heard.HeardAges) != 1 {
-		t.Errorf("after an announcement the view contains %v", heard)
+	announced := sendSync(again)
+	if len(announced.Servers) != 0 || len(announced.HeardServers) != 1 || announced.HeardServers[0] != holders.Key("a") || len(announced.HeardAges) != 1 {
+		t.Errorf("after an announcement the view contains %v", announced)
 	}
 	announce("b", "10.0.0.2:1", 1)
-	changed := present(heard)
+	changed := sendSync(announced)
 	if len(changed.Servers) != 1 || changed.Servers[0].Id != "b" || len(changed.HeardServers) != 1 || len(changed.Hosts) != 0 {
 		t.Errorf("after a change of the servers the view contains %v", changed)
 	}
 	host.f.Leave("a", 0)
-	left := present(changed)
+	left := sendSync(changed)
 	if len(left.Servers) != 1 || !left.Servers[0].Gone || len(left.HeardServers) != 0 {
 		t.Errorf("after a server left the view contains %v", left)
 	}
-	behind := present(&pb.FleetView{Epoch: left.Epoch, Version: left.Version, HeardNext: left.HeardNext + 1})
+	behind := sendSync(&pb.FleetView{Epoch: left.Epoch, Version: left.Version, HeardNext: left.HeardNext + 1})
 	if len(behind.HeardServers) != 1 || behind.HeardServers[0] != holders.Key("b") {
 		t.Errorf("a host with an unknown position in the announcement log receives %v", behind)
 	}
-	if other := present(&pb.FleetView{Epoch: left.Epoch + 1, Version: left.Version, LoadsNext: left.LoadsNext}); other.Changes || other.LoadChanges || len(other.Servers) != 2 || len(other.Hosts) != 1 {
+	if other := sendSync(&pb.FleetView{Epoch: left.Epoch + 1, Version: left.Version, LoadsNext: left.LoadsNext}); other.Changes || other.LoadChanges || len(other.Servers) != 2 || len(other.Hosts) != 1 {
 		t.Errorf("a host with the view of an earlier process receives %v", other)
 	}
 }
@@ -71,7 +71,7 @@
 	g := newGroup(t)
 	m := g.member(founderAddresses[0])
 	have := map[string]*pb.FleetView{"h1": {}, "h2": {}}
-	present := func(host string, primary bool, loads serverload.Loads) *pb.FleetView {
+	sendSync := func(host string, primary bool, loads serverload.Loads) *pb.FleetView {
 		req := syncRequest(host, "r", 0, nil)
 		s, last := req.GetFleetSync(), have[host]
 		s.Primary, s.Loads, s.WaitMs = primary, serverload.Encode(loads), 0
@@ -80,21 +80,21 @@
 		return have[host]
 	}
 	one := func(n uint32) serverload.Loads { return serverload.Loads{7: {Requests: n}} }
-	if v := present("h1", true, one(1)); v.LoadChanges || !maps.Equal(serverload.Decode(v.Loads), one(1)) {
+	if v := sendSync("h1", true, one(1)); v.LoadChanges || !maps.Equal(serverload.Decode(v.Loads), one(1)) {
 		t.Errorf("first view: %v", v.Loads)
 	}
-	if v := present("h1", true, one(1)); !v.LoadChanges || v.Loads != nil {
+	if v := sendSync("h1", true, one(1)); !v.LoadChanges || v.Loads != nil {
 		t.Errorf("nothing changed: %v", v.Loads)
 	}
-	present("h2", true, one(2))
-	if v := present("h1", true, one(1)); !v.LoadChanges || !maps.Equal(serverload.Decode(v.Loads), one(3)) {
+	sendSync("h2", true, one(2))
+	if v := sendSync("h1", true, one(1)); !v.LoadChanges || !maps.Equal(serverload.Decode(v.Loads), one(3)) {
 		t.Errorf("after another host reported a load: %v", v.Loads)
 	}
-	present("h2", true, nil)
-	if v := present("h1", true, nil); !v.LoadChanges || !maps.Equal(serverload.Decode(v.Loads), serverload.Loads{7: {}}) {
+	sendSync("h2", true, nil)
+	if v := sendSync("h1", true, nil); !v.LoadChanges || !maps.Equal(serverload.Decode(v.Loads), serverload.Loads{7: {}}) {
 		t.Errorf("after all loads ended: %v", v.Loads)
 	}
-	if v := present("h2", false, nil); v.Loads != nil || v.LoadsNext != 0 {
+	if v := sendSync("h2", false, nil); v.Loads != nil || v.LoadsNext != 0 {
 		t.Errorf("a host with another primary receives %v", v.Loads)
 	}
 }
--- a/internal/app/control/dissemination.go
+++ b/internal/app/control/dissemination.go
@@ -11,8 +11,8 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Times and limits of the dissemination of configurations. The leader offers a new
-// configuration to a few entry hosts of each failure domain; these pass it on to the others.
+// Times and limits of the dissemination of configurations. Each replica offers a new
+// configuration to a few entry hosts of each failure domain; the others learn of it from these.
 const (
 	disseminateInterval = 500 * time.Millisecond
 	reofferInterval     = 3 * time.Second
--- a/internal/app/control/exchange.go
+++ b/internal/app/control/exchange.go
@@ -31,20 +31,20 @@
 	m  map[string]bool
 }
 
-func (b *inFlightSet) tryStart(addr string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.m[addr] {
+func (s *inFlightSet) tryStart(addr string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.m[addr] {
 		return false
 	}
-	b.m[addr] = true
+	s.m[addr] = true
 	return true
 }
 
-func (b *inFlightSet) end(addr string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.m, addr)
+func (s *inFlightSet) end(addr string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.m, addr)
 }
 
 // exchangeTargets returns the peer addresses of the control hosts to send exchanges to: all of the
@@ -194,16 +194,16 @@
 // another region gets the servers of its region that announced themselves anywhere in this failure
 // domain.
 func (f *Fleet) serversSinceLocked(last exchangeCursor, to *registry.Control, now time.Time) ([]*registry.Server, uint64) {
-	heard, next, complete := f.reg.HeardSince(last.servers)
+	announced, next, complete := f.reg.HeardSince(last.servers)
 	if !complete || !last.sentAllServers {
 		return f.reg.DirectServers(to.Region, now), next
 	}
-	heard = slices.DeleteFunc(heard, func(s *registry.Server) bool {
-		here := s.HeardHere() || (to.Region != f.o.Region && s.Via == f.o.FailureDomain)
-		concerns := to.FailureDomain == f.o.FailureDomain || f.reg.RegionOf(s.FailureDomain) == to.Region
-		return !s.Gone && !(here && concerns)
+	announced = slices.DeleteFunc(announced, func(s *registry.Server) bool {
+		announcedHere := s.HeardHere() || (to.Region != f.o.Region && s.Via == f.o.FailureDomain)
+		relevant := to.FailureDomain == f.o.FailureDomain || f.reg.RegionOf(s.FailureDomain) == to.Region
+		return !s.Gone && !(announcedHere && relevant)
 	})
-	return heard, next
+	return announced, next
 }
 
 // applyExchange merges the state that another control host sent. It reports whether all entry hosts
@@ -249,11 +249,11 @@
 			f.reg.Leave(s.Id, s.Start, now)
 			continue
 		}
-		heard := now.Add(-milliseconds(s.AgeMs))
+		heardAt := now.Add(-milliseconds(s.AgeMs))
 		f.reg.Announce(registry.Server{
 			ID: s.Id, Start: s.Start, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain, Sequence: s.Sequence,
-			Slots: int(s.Slots), Leaving: s.Leaving, Release: s.Release, HeardAt: heard, FirstSeen: now.Add(-milliseconds(s.FirstSeenMs)),
-			ColdUntil: heard.Add(milliseconds(s.ColdMs)), Via: x.FailureDomain,
+			Slots: int(s.Slots), Leaving: s.Leaving, Release: s.Release, HeardAt: heardAt, FirstSeen: now.Add(-milliseconds(s.FirstSeenMs)),
+			ColdUntil: heardAt.Add(milliseconds(s.ColdMs)), Via: x.FailureDomain,
 		}, now)
 	}
 	f.wakeLocked()
--- a/internal/app/control/fleet.go
+++ b/internal/app/control/fleet.go
@@ -78,8 +78,8 @@
 type exchangeCursor struct {
 	prompts        uint64 // position in the log of prompt places
 	verdicts       uint64 // revision of the quarantine records
-	hosts          uint64 // registry version of the last full set of entry hosts; 0 for none
-	servers        uint64 // position in the log of announcements
+	hosts          uint64 // registry version up to which the entry hosts were sent; 0 for none
+	servers        uint64 // position in the log of announcements up to which servers were sent
 	sentAllServers bool   // whether the full set of servers was sent once
 	controls       uint64 // version of the list of control hosts
 }
--- a/internal/app/control/members.go
+++ b/internal/app/control/members.go
@@ -12,8 +12,8 @@
 )
 
 // executeReplicaChange adds the replica at an address as a learner. If c.Replace is set, it then
-// waits until the learner has caught up, promotes it to a voter and removes the replaced replica.
-// These are three separate membership changes in the log.
+// waits until the learner has caught up, promotes it to a voter and removes the replaced replica:
+// three membership changes in the log, one at a time.
 func (r *Replica) executeReplicaChange(ctx context.Context, c *pb.ReplicaChange) (*pb.ProposeResult, error) {
 	id, err := r.fetchStoreID(ctx, c.Address)
 	if err != nil {
--- a/internal/app/control/quotas.go
+++ b/internal/app/control/quotas.go
@@ -186,13 +186,13 @@
 	if r.fleet == nil {
 		return 1 / float64(1+len(r.otherIssuers())), true
 	}
-	o, here := &r.fleet.o, 1
+	o, issuersInDomain := &r.fleet.o, 1
 	for _, c := range r.fleet.liveControls() {
 		if c.FailureDomain == o.FailureDomain {
-			here++
+			issuersInDomain++
 		}
 	}
-	return 1 / float64(max(1, len(o.Regions))*here), r.Staleness() <= issuerSettleTime
+	return 1 / float64(max(1, len(o.Regions))*issuersInDomain), r.Staleness() <= issuerSettleTime
 }
 
 // borrow sends another control host the units that this one keeps, returns and needs, and records
--- a/internal/app/control/repair.go
+++ b/internal/app/control/repair.go
@@ -26,8 +26,8 @@
 )
 
 // repair keeps the group complete without an operator, on the leader: it adds control hosts that
-// appear, replaces a store that was lost by the new one at its address, and replaces a lost voter
-// by a learner.
+// appear, replaces a lost store by the new one at its address, and replaces a lost voter by a
+// learner.
 func (r *Replica) repair(ctx context.Context) {
 	defer r.wg.Done()
 	t := time.NewTicker(repairInterval)
@@ -58,7 +58,7 @@
 }
 
 // timeSinceResponse returns for each member how long it has not answered this leader. lastResponse
-// holds the times between calls.
+// keeps the time of each member's last answer between calls.
 func (r *Replica) timeSinceResponse(st consensus.Status, lastResponse map[string]time.Time) map[string]time.Duration {
 	now := r.o.Clock.Now()
 	out := map[string]time.Duration{}
--- a/internal/app/control/replica.go
+++ b/internal/app/control/replica.go
@@ -47,7 +47,7 @@
 	// Quarantine limits the records of requests that crash servers.
 	Quarantine quarantine.Options
 	Seed       int64
-	// NoOrders reports that the group sends no orders to engines. Only orders need the leader's
+	// NoOrders means that the group sends no orders to engines. Only orders need the leader's
 	// lease; without it the group elects a leader sooner after a restart.
 	NoOrders bool
 
@@ -99,9 +99,11 @@
 	// otherMemberAddresses are the peer addresses of the members without this one.
 	otherMemberAddresses atomic.Pointer[[]string]
 	started              time.Time
-	loggedRole           roleState                 // last logged state
-	currentAt            atomic.Pointer[time.Time] // time as of which the applied state was complete; nil until then; see Staleness
-	currentTick          uint64                    // the node's tick for currentAt
+	loggedRole           roleState // last logged state
+	// currentAt is the time as of which the applied state was the group's newest; nil if it never
+	// was since the start. See Staleness.
+	currentAt   atomic.Pointer[time.Time]
+	currentTick uint64 // the node's tick for currentAt
 }
 
 // roleState is a replica's own role and its view of the group's leader.
@@ -123,13 +125,13 @@
 
 // NewReplica restores the replica's state from its journal.
 func NewReplica(o Options) (*Replica, error) {
-	sealer, err := newDocumentCipher(o.Signer)
+	documentCipher, err := newDocumentCipher(o.Signer)
 	if err != nil {
 		return nil, err
 	}
 	r := &Replica{
 		o:              o,
-		documentCipher: sealer,
+		documentCipher: documentCipher,
 		quotas:         newQuotas(o),
 		gate:           fencing.NewGate(fencing.Limits{Lease: electionTicks * o.Tick, MaxOrder: o.MaxOrder}),
 		loadBucket:     newTokenBucket(o.LoadsPerMin),
@@ -335,11 +337,11 @@
 
 // maybeSnapshot saves a snapshot once SnapshotEvery entries have been applied since the last one.
 func (r *Replica) maybeSnapshot(appliedIndex uint64) error {
-	first := uint64(0)
+	snapshotIndex := uint64(0)
 	if s := r.o.State.Snapshot; s != nil {
-		first = s.Index
+		snapshotIndex = s.Index
 	}
-	if appliedIndex < first+uint64(r.o.SnapshotEvery) {
+	if appliedIndex < snapshotIndex+uint64(r.o.SnapshotEvery) {
 		return nil
 	}
 	s := r.node.SnapshotAt(appliedIndex, r.machine.Snapshot())
@@ -445,6 +447,5 @@
 	return failure.New(failure.NoLeader, failure.NotRun, "the replica is stopped")
 }
 
-// Halted returns the journal failure because of which the replica takes no part in the group, or
-// nil.
+// Halted returns the journal failure that halted the replica, or nil.
 func (r *Replica) Halted() *failure.Error { return r.halted.Load() }
--- a/internal/app/control/representatives_test.go
+++ b/internal/app/control/representatives_test.go
@@ -157,9 +157,9 @@
 			t.Fatalf("after all hosts were known: %v", err)
 		}
 	}
-	const inRegion, elsewhere = 24 * 7, 6 * 16
-	if w.crossRegion != elsewhere || w.messages != inRegion+elsewhere {
-		t.Errorf("%d messages per interval, %d of them between regions; want %d and %d", w.messages, w.crossRegion, inRegion+elsewhere, elsewhere)
+	const inRegion, betweenRegions = 24 * 7, 6 * 16
+	if w.crossRegion != betweenRegions || w.messages != inRegion+betweenRegions {
+		t.Errorf("%d messages per interval, %d of them between regions; want %d and %d", w.messages, w.crossRegion, inRegion+betweenRegions, betweenRegions)
 	}
 	for _, h := range w.fleets["r1d1c2"].reg.Hosts(w.clock.Now()) {
 		if age := w.clock.Now().Sub(h.HeardAt); age > hostLease/2 {
@@ -229,7 +229,7 @@
 	from, to := w.fleets["r0d0c0"], w.fleets["r1d0c0"]
 	hostIndex := slices.IndexFunc(w.hosts, func(h *pb.FleetHost) bool { return h.FailureDomain == "r0d0" })
 	h := proto.Clone(w.hosts[hostIndex]).(*pb.FleetHost)
-	present := func(ready bool) {
+	sendSync := func(ready bool) {
 		h.Ready = ready
 		from.handleSync(context.Background(), &pb.FleetSync{Host: h, Primary: true})
 	}
@@ -241,14 +241,14 @@
 		}
 		from.cursors["r1d0c0"] = next
 	}
-	present(true)
+	sendSync(true)
 	sendDelayed(500 * time.Millisecond)
 	w.clock.advance(-400 * time.Millisecond) // the next sync request arrived while the exchange was delayed
-	present(false)
+	sendSync(false)
 	sendDelayed(80 * time.Millisecond)
 	for range 4 {
 		w.clock.advance(250 * time.Millisecond)
-		present(false)
+		sendSync(false)
 		sendDelayed(80 * time.Millisecond)
 	}
 	for _, known := range to.reg.Hosts(w.clock.Now()) {
--- a/internal/app/control/send.go
+++ b/internal/app/control/send.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	senderQueueSize = 256
-	senderBatchSize = 64
-	sendTimeout     = 2 * time.Second
+	maxQueuedMessages = 256
+	maxBatchMessages  = 64
+	sendTimeout       = 2 * time.Second
 	// maxInFlightBatches limits the unanswered batches to one address: one second of heartbeats.
 	maxInFlightBatches = 8
 )
@@ -42,7 +42,7 @@
 	key := senderKey{addr, t == consensus.MsgAppend || t == consensus.MsgSnapshot}
 	s := r.senders[key]
 	if s == nil {
-		s = &sender{queue: make(chan *pb.RaftMessage, senderQueueSize)}
+		s = &sender{queue: make(chan *pb.RaftMessage, maxQueuedMessages)}
 		r.senders[key] = s
 		r.wg.Add(1)
 		go r.runSender(ctx, key, s)
@@ -53,8 +53,8 @@
 	}
 }
 
-// addressOf returns a store's address. A store that has just joined does not know the members yet;
-// it answers at the addresses from the exchanges.
+// addressOf returns a store's address, or "" if it is not known. A replica that has just joined
+// does not know the group's members yet and uses the addresses of the live control hosts.
 func (r *Replica) addressOf(store string) string {
 	if addr := r.node.Address(store); addr != "" || r.fleet == nil {
 		return addr
@@ -80,7 +80,7 @@
 		case m := <-s.queue:
 			batch = append(batch, m)
 		}
-		for len(batch) < senderBatchSize && len(s.queue) > 0 {
+		for len(batch) < maxBatchMessages && len(s.queue) > 0 {
 			batch = append(batch, <-s.queue)
 		}
 		if key.bulk {
@@ -114,7 +114,7 @@
 }
 
 // tokenBucket limits the rate of loads from the weight store.
-type tokenBucket struct{ l *rate.Limiter }
+type tokenBucket struct{ limiter *rate.Limiter }
 
 func newTokenBucket(perMinute float64) *tokenBucket {
 	return &tokenBucket{rate.NewLimiter(rate.Limit(perMinute/60), max(1, int(perMinute)))}
@@ -122,7 +122,7 @@
 
 // take takes a token, or returns the time until one is available.
 func (b *tokenBucket) take(now time.Time) (wait time.Duration) {
-	res := b.l.ReserveN(now, 1)
+	res := b.limiter.ReserveN(now, 1)
 	if !res.OK() {
 		return time.Minute
 	}
--- a/internal/app/control/staleness_test.go
+++ b/internal/app/control/staleness_test.go
@@ -34,7 +34,7 @@
 		return consensus.MessageType(m.Type) == consensus.MsgAppend
 	})
 	m := g.start(addr, addr+".0", j, founderAddresses)
-	await(t, "the host received 20 heartbeats", func() bool { return heartbeats.Load() > 20 })
+	await(t, "more than 20 heartbeats were sent to the host", func() bool { return heartbeats.Load() > 20 })
 	resp := m.r.HandleRequest(context.Background(), &pb.Request{Body: &pb.Request_ConfigFetch{ConfigFetch: &pb.ConfigFetch{}}})
 	if got := resp.GetConfig().GetStamp().GetVersion(); got != 0 {
 		t.Errorf("offered version %d; 6 was acknowledged", got)
--- a/internal/app/control/storage_test.go
+++ b/internal/app/control/storage_test.go
@@ -40,14 +40,14 @@
 // be present, refused ones must not, and new changes must be accepted.
 func TestReplicaRecoversFromFullDisk(t *testing.T) {
 	j := &recordingJournal{}
-	reopened := make(chan struct{}, 64)
+	reopenAttempts := make(chan struct{}, 64)
 	diskFreed := make(chan struct{})
 	r, err := NewReplica(Options{
 		Identity: port.Identity{Store: "c.0"}, Host: "c", Generation: 1,
 		Members: []*pb.RaftMember{{Id: "c.0", Address: "a"}}, Signer: ed25519.NewKeyFromSeed(bytes.Repeat([]byte{7}, 32)),
 		Tick: testTick, SnapshotEvery: 100, MaxOrder: time.Second, LoadsPerMin: 2, Journal: j, State: &port.JournalState{},
 		Reopen: func() (port.Journal, *port.JournalState, error) {
-			reopened <- struct{}{}
+			reopenAttempts <- struct{}{}
 			select {
 			case <-diskFreed:
 			default:
@@ -73,7 +73,7 @@
 	if err := change(r, 1, "b"); !failure.Is(err, failure.JournalFailed) {
 		t.Errorf("change on a full disk: %v", err)
 	}
-	<-reopened // the replica retries without a call
+	<-reopenAttempts // the replica retries without a call
 	if err := change(r, 1, "c"); !failure.Is(err, failure.JournalFailed) {
 		t.Errorf("change while the disk is full: %v", err)
 	}
--- a/internal/app/control/view.go
+++ b/internal/app/control/view.go
@@ -123,15 +123,15 @@
 	for _, h := range changes.Hosts {
 		v.Hosts = append(v.Hosts, hostMessage(h, h.HeardAt, now))
 	}
-	heard, next, complete := f.reg.HeardSince(m.HaveHeard)
+	announced, next, complete := f.reg.HeardSince(m.HaveHeard)
 	v.HeardNext = next
 	switch {
 	case !v.Changes:
 		return
 	case !complete:
-		heard = f.reg.List(region)
+		announced = f.reg.List(region)
 	}
-	for _, s := range heard {
+	for _, s := range announced {
 		if f.reg.Listed(s, region) {
 			v.HeardServers = append(v.HeardServers, s.Key())
 			v.HeardAges = append(v.HeardAges, uint32(age(s.HeardAt, now)/registry.AgeUnitMS))
