--- a/internal/app/control/seal_test.go
+++ b/internal/app/control/seal_test.go
@@ -9,11 +9,11 @@
 // newSealingReplica returns a replica that can only seal and unseal documents.
 func newSealingReplica(t *testing.T, seed byte) *Replica {
 	t.Helper()
-	sealer, err := newDocumentCipher(ed25519.NewKeyFromSeed(bytes.Repeat([]byte{seed}, ed25519.SeedSize)))
+	documentCipher, err := newDocumentCipher(ed25519.NewKeyFromSeed(bytes.Repeat([]byte{seed}, ed25519.SeedSize)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Replica{documentCipher: sealer}
+	return &Replica{documentCipher: documentCipher}
 }
 
 // TestSealedDocuments checks that every control host of a group unseals a document unchanged, that
