--- a/internal/app/control/exchange.go
+++ b/internal/app/control/exchange.go
@@ -59,7 +59,7 @@
 		addrs[a] = true
 	}
 	f.mu.Lock()
-	representative := f.reg.Speaks(f.o.Peer, f.o.Clock.Now())
+	representative := f.reg.RepresentsDomain(f.o.Peer, f.o.Clock.Now())
 	for addr, domain := range f.controlDomains {
 		addrs[addr] = representative || f.o.Regions[domain] == f.o.Region
 	}
@@ -108,7 +108,7 @@
 		Store: f.replica.o.Identity.Store, Peer: f.o.Peer, Operator: f.o.Operator,
 		Region: f.o.Region, FailureDomain: f.o.FailureDomain,
 	}
-	if f.reg.Speaks(f.o.Peer, now) {
+	if f.reg.RepresentsDomain(f.o.Peer, now) {
 		x.Loads = f.regionLoadsLocked(now)
 	}
 	if last.controls != f.controlsVersion {
@@ -117,7 +117,7 @@
 	to := f.reg.Control(addr)
 	crossRegion := to != nil && to.Region != f.o.Region
 	f.addHostsLocked(x, last, crossRegion, now)
-	if to == nil || !to.Heard(now) {
+	if to == nil || !to.Live(now) {
 		return x, next
 	}
 	var servers []*registry.Server
@@ -128,15 +128,15 @@
 	}
 	var places []holders.Place
 	if crossRegion {
-		places, next.prompts = f.prompts.OfDomain(last.prompts)
+		places, next.prompts = f.prompts.FromDomain(last.prompts)
 		places = holders.InRegion(f.o.Region, places)
 		f.addControlsLocked(x, now)
 	} else {
-		places, next.prompts = f.prompts.Direct(last.prompts)
-		x.ServerLoads = serverload.Encode(f.reg.DirectLoads())
+		places, next.prompts = f.prompts.FromEntryHosts(last.prompts)
+		x.ServerLoads = serverload.Encode(f.reg.OwnedLoads())
 	}
 	x.Prompts = holders.Encode(places)
-	x.Quarantine, next.verdicts = f.replica.verdictsSince(last.verdicts, maxExchangeRecords, quarantine.All)
+	x.Quarantine, next.verdicts = f.replica.verdictsSince(last.verdicts, maxExchangeRecords, quarantine.AllRecords)
 	return x, next
 }
 
@@ -144,11 +144,11 @@
 // to it, and for receivers in other regions those of the whole failure domain.
 func (f *Fleet) addHostsLocked(x *pb.ControlExchange, last exchangeCursor, crossRegion bool, now time.Time) {
 	for _, h := range f.reg.Hosts(now) {
-		heardAt := h.PresentedAt
+		heardAt := h.SyncedHereAt
 		switch {
-		case crossRegion && f.reg.HeardInDomain(h):
-			heardAt = h.HeardAt
-		case !f.reg.PresentsItself(h, now):
+		case crossRegion && f.reg.SyncedInDomain(h):
+			heardAt = h.LastSeen
+		case !f.reg.SyncsHere(h, now):
 			continue
 		}
 		switch {
@@ -183,7 +183,7 @@
 func (f *Fleet) addControlsLocked(x *pb.ControlExchange, now time.Time) {
 	for _, c := range f.reg.Controls(now) {
 		if c.FailureDomain == f.o.FailureDomain {
-			x.Controls = append(x.Controls, &pb.ControlHeard{Store: c.Store, Peer: c.Peer, Operator: c.Operator, AgeMs: uint32(age(c.HeardAt, now))})
+			x.Controls = append(x.Controls, &pb.ControlHeard{Store: c.Store, Peer: c.Peer, Operator: c.Operator, AgeMs: uint32(age(c.LastSeen, now))})
 		}
 	}
 }
@@ -194,12 +194,12 @@
 // another region gets the servers of its region that announced themselves anywhere in this failure
 // domain.
 func (f *Fleet) serversSinceLocked(last exchangeCursor, to *registry.Control, now time.Time) ([]*registry.Server, uint64) {
-	announced, next, complete := f.reg.HeardSince(last.servers)
+	announced, next, complete := f.reg.AnnouncedSince(last.servers)
 	if !complete || !last.sentAllServers {
 		return f.reg.DirectServers(to.Region, now), next
 	}
 	announced = slices.DeleteFunc(announced, func(s *registry.Server) bool {
-		announcedHere := s.HeardHere() || (to.Region != f.o.Region && s.Via == f.o.FailureDomain)
+		announcedHere := s.AnnouncedHere() || (to.Region != f.o.Region && s.Via == f.o.FailureDomain)
 		relevant := to.FailureDomain == f.o.FailureDomain || f.reg.RegionOf(s.FailureDomain) == to.Region
 		return !s.Gone && !(announcedHere && relevant)
 	})
@@ -212,9 +212,9 @@
 	now := f.o.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reg.HearControl(registry.Control{
+	f.reg.UpdateControl(registry.Control{
 		Store: x.Store, Peer: x.Peer, Operator: x.Operator, Region: x.Region, FailureDomain: x.FailureDomain,
-		HeardAt: now, Loads: x.Loads, LoadsAt: now, ServerLoads: serverload.Decode(x.ServerLoads),
+		LastSeen: now, Loads: x.Loads, LoadsAt: now, ServerLoads: serverload.Decode(x.ServerLoads),
 	})
 	for _, c := range x.ControlHosts {
 		if c.FailureDomain != "" {
@@ -223,23 +223,23 @@
 	}
 	for _, c := range x.Controls {
 		if c.Peer != f.o.Peer {
-			f.reg.HearOfControl(registry.Control{
-				Store: c.Store, Peer: c.Peer, Operator: c.Operator, Region: x.Region, FailureDomain: x.FailureDomain, HeardAt: now.Add(-milliseconds(uint64(c.AgeMs))),
+			f.reg.UpdateReportedControl(registry.Control{
+				Store: c.Store, Peer: c.Peer, Operator: c.Operator, Region: x.Region, FailureDomain: x.FailureDomain, LastSeen: now.Add(-milliseconds(uint64(c.AgeMs))),
 			})
 		}
 	}
 	if x.FailureDomain == f.o.FailureDomain {
-		f.prompts.AddOfDomain(holders.Decode(x.Prompts))
+		f.prompts.AddFromDomain(holders.Decode(x.Prompts))
 	} else {
 		f.prompts.Add("", holders.Decode(x.Prompts))
 	}
 	if f.replica.mergeVerdicts(x.Quarantine, x.Store) {
-		f.reg.Touch()
+		f.reg.BumpVersion()
 	}
 	for _, h := range x.Hosts {
-		f.reg.HearHost(registry.Host{
+		f.reg.UpdateHost(registry.Host{
 			ID: h.Id, Peer: h.Peer, Caller: h.Caller, Region: h.Region, FailureDomain: h.FailureDomain, Ready: h.Ready, Primary: h.Primary, Via: x.FailureDomain,
-			HeardAt: now.Add(-milliseconds(h.AgeMs)),
+			LastSeen: now.Add(-milliseconds(h.AgeMs)),
 		}, now)
 	}
 	complete = f.renewHostsLocked(x.HeardHosts, x.HeardAges, true, x.FailureDomain, now)
@@ -252,7 +252,7 @@
 		heardAt := now.Add(-milliseconds(s.AgeMs))
 		f.reg.Announce(registry.Server{
 			ID: s.Id, Start: s.Start, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain, Sequence: s.Sequence,
-			Slots: int(s.Slots), Leaving: s.Leaving, Release: s.Release, HeardAt: heardAt, FirstSeen: now.Add(-milliseconds(s.FirstSeenMs)),
+			Slots: int(s.Slots), Leaving: s.Leaving, Release: s.Release, LastSeen: heardAt, FirstSeen: now.Add(-milliseconds(s.FirstSeenMs)),
 			ColdUntil: heardAt.Add(milliseconds(s.ColdMs)), Via: x.FailureDomain,
 		}, now)
 	}
@@ -267,7 +267,7 @@
 	for i, key := range keys {
 		if i < len(ages) {
 			heardAt := now.Add(-milliseconds(uint64(ages[i] >> 1)))
-			complete = f.reg.HearHostAgain(key, owned, ages[i]&1 == 1, via, heardAt, now) && complete
+			complete = f.reg.RenewHost(key, owned, ages[i]&1 == 1, via, heardAt, now) && complete
 		}
 	}
 	return complete
--- a/internal/app/control/fleet.go
+++ b/internal/app/control/fleet.go
@@ -113,7 +113,7 @@
 func (f *Fleet) configurationChanged() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reg.Touch()
+	f.reg.BumpVersion()
 	f.wakeLocked()
 }
 
@@ -124,7 +124,7 @@
 	if _, ok := f.o.Regions[s.FailureDomain]; !ok {
 		return "", failure.New(failure.BadRequest, failure.NotRun, "failure domain %q is not known", s.FailureDomain)
 	}
-	s.HeardAt, s.Direct = now, now
+	s.LastSeen, s.DirectAt = now, now
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	updated := f.reg.Announce(s, now)
@@ -159,7 +159,7 @@
 	if len(inDomain) == 0 {
 		inDomain = inRegion
 	}
-	return rendezvous.First(server, inDomain)
+	return rendezvous.Owner(server, inDomain)
 }
 
 // Leave records that a start of a backend server has left for good; start 0 means the known one.
--- a/internal/app/control/repair.go
+++ b/internal/app/control/repair.go
@@ -82,7 +82,7 @@
 	live := []consensus.LiveStore{{ID: r.o.Identity.Store, Address: r.fleet.o.Peer, Region: r.o.Region, FailureDomain: r.o.FailureDomain}}
 	now := r.o.Clock.Now()
 	for _, c := range r.fleet.liveControls() {
-		if now.Sub(c.HeardAt) <= joinMaxAge {
+		if now.Sub(c.LastSeen) <= joinMaxAge {
 			live = append(live, consensus.LiveStore{ID: c.Store, Address: c.Peer, Region: c.Region, FailureDomain: c.FailureDomain})
 		}
 	}
--- a/internal/app/control/representatives_test.go
+++ b/internal/app/control/representatives_test.go
@@ -162,7 +162,7 @@
 		t.Errorf("%d messages per interval, %d of them between regions; want %d and %d", w.messages, w.crossRegion, inRegion+betweenRegions, betweenRegions)
 	}
 	for _, h := range w.fleets["r1d1c2"].reg.Hosts(w.clock.Now()) {
-		if age := w.clock.Now().Sub(h.HeardAt); age > hostLease/2 {
+		if age := w.clock.Now().Sub(h.LastSeen); age > hostLease/2 {
 			t.Errorf("the last sync request of %s is %s old", h.ID, age)
 		}
 	}
@@ -211,11 +211,11 @@
 		if s := other.reg.Server("s"); s == nil || s.Gone {
 			t.Errorf("%s does not list the server", addr)
 		}
-		if places, _ := other.prompts.For("nobody", 0); len(places) != 1 || places[0].Server != holders.Key("r0") {
+		if places, _ := other.prompts.ForHost("nobody", 0); len(places) != 1 || places[0].Server != holders.Key("r0") {
 			t.Errorf("%s has prompt places %v", addr, places)
 		}
 	}
-	if places, _ := w.fleets["r0d0c2"].prompts.For("nobody", 0); len(places) != 1 || places[0].Server != 70 {
+	if places, _ := w.fleets["r0d0c2"].prompts.ForHost("nobody", 0); len(places) != 1 || places[0].Server != 70 {
 		t.Errorf("a control host of the own region has prompt places %v", places)
 	}
 }
--- a/internal/app/control/seal.go
+++ b/internal/app/control/seal.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, failure.New(failure.Internal, "", "the document cannot be decrypted: it was sealed with another group's key or is corrupted")
 	}
-	document, err := configstate.Inflate(compressed)
+	document, err := configstate.Decompress(compressed)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "")
 	}
--- a/internal/app/control/verdicts.go
+++ b/internal/app/control/verdicts.go
@@ -47,7 +47,7 @@
 		have = m.Have
 	}
 	out := &pb.QuarantineUpdate{Epoch: r.verdicts.epoch}
-	out.Records, out.Next = r.verdictsSince(have, maxViewRecords, quarantine.Decisive)
+	out.Records, out.Next = r.verdictsSince(have, maxViewRecords, quarantine.NeededByEntryHosts)
 	return out
 }
 
@@ -61,17 +61,17 @@
 	r.verdicts.mu.Lock()
 	defer r.verdicts.mu.Unlock()
 	for _, c := range r.verdicts.table.Merge(records, now) {
-		if c.After.Ends > 1 || c.Before.Ends > 1 {
+		if c.After.ServerCrashes > 1 || c.Before.ServerCrashes > 1 {
 			decisive = true
 			r.o.Log.Info("verdict on a request", "verdict", c.After.Verdict.String(), "fingerprint", c.Fingerprint.String(), "team", c.Team,
-				"service", c.Service, "release", c.Release, "ends", c.After.Ends, "told_by", from)
+				"service", c.Service, "release", c.Release, "ends", c.After.ServerCrashes, "told_by", from)
 		}
 	}
 	return decisive
 }
 
 // verdictsSince returns up to limit records to send to another host; see quarantine.Table.
-func (r *Replica) verdictsSince(revision uint64, limit int, wanted quarantine.Wanted) ([]*pb.QuarantineRecord, uint64) {
+func (r *Replica) verdictsSince(revision uint64, limit int, wanted quarantine.RecordFilter) ([]*pb.QuarantineRecord, uint64) {
 	r.verdicts.mu.Lock()
 	defer r.verdicts.mu.Unlock()
 	return r.verdicts.table.Since(revision, limit, wanted, r.o.Clock.Now())
@@ -138,7 +138,7 @@
 func (r *Replica) expireVerdicts() {
 	r.verdicts.mu.Lock()
 	defer r.verdicts.mu.Unlock()
-	r.verdicts.table.Forget(r.o.Clock.Now())
+	r.verdicts.table.RemoveExpired(r.o.Clock.Now())
 }
 
 // persistNewVerdicts adds to the log the verdicts that are not in it yet, and further server ends
@@ -147,10 +147,10 @@
 	r.verdicts.mu.Lock()
 	from := r.verdicts.persistedRevision
 	r.verdicts.mu.Unlock()
-	records, next := r.verdictsSince(from, maxViewRecords, quarantine.All)
+	records, next := r.verdictsSince(from, maxViewRecords, quarantine.AllRecords)
 	kept := configstate.KeptByFingerprint(r.published.Load().Quarantined)
 	for _, m := range records {
-		if !configstate.MustKeep(m, kept[string(m.Fingerprint)]) {
+		if !configstate.MustReplaceKept(m, kept[string(m.Fingerprint)]) {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, persistTimeout)
