--- a/internal/app/access/access.go
+++ b/internal/app/access/access.go
@@ -1,8 +1,9 @@
-// Package access lets requests in, for every way by which they come: it finds the team whose
-// key a request bears, and takes the request's units of the team's quota.
+// Package access admits requests on every path by which they arrive: it finds the team that a
+// request's key belongs to, and charges the request to that team's quota.
 //
-// A key is known by its hash; no raw key comes here. Units are asked for ahead (package
-// quota); a request waits for an answer only when this host has too few.
+// Keys are compared by hash; raw keys are not passed to this package. Units of quota are
+// requested from the control hosts in advance (package quota), so a request waits for an answer
+// only when this host holds too few.
 package access
 
 import (
@@ -22,16 +23,16 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// Credential is what a request bears to show whose it is.
+// Credential identifies the key that a request was sent with.
 type Credential struct {
-	// Hash is the hash of the caller's key; see configstate.KeyHash.
+	// Hash is the hash of the caller's key, or empty; see configstate.KeyHash.
 	Hash string
-	// Fault says why there is no hash.
+	// Fault describes why Hash is empty.
 	Fault string
 }
 
-// TeamOf returns the team whose key a request bears. A request that bears none, or a key that
-// no team holds, gets a refusal beside.
+// TeamOf returns the team whose key a request was sent with, or an Unauthorized failure if the
+// request has no key or no team holds it.
 func TeamOf(rec *configstate.Record, c Credential) (*configstate.Team, *failure.Error) {
 	if c.Hash == "" {
 		return nil, failure.New(failure.Unauthorized, failure.NotRun, "%s", c.Fault)
@@ -43,8 +44,9 @@
 	return t, nil
 }
 
-// Nearest sorts the addresses of control hosts: the nearest first, and those at one distance in
-// another order on each host, so that the hosts share them.
+// Nearest sorts the addresses of control hosts in place, nearest first. Addresses at the same
+// distance are ordered by their rendezvous weight for this host, so that hosts spread their
+// requests over them.
 func Nearest(host string, addrs []string, distance func(addr string) int) {
 	slices.SortFunc(addrs, func(a, b string) int {
 		return cmp.Or(
@@ -57,67 +59,69 @@
 // Options configures a Gate.
 type Options struct {
 	Peers   port.Peers
-	Request func() *pb.Request // the head of a message to another host
-	// Issuers returns the addresses of the control hosts, which give out units, the nearest
-	// first; see Nearest.
+	Request func() *pb.Request // returns a message to another host with the sender's fields set
+	// Issuers returns the addresses of the control hosts that issue units, nearest first; see
+	// Nearest.
 	Issuers func() []string
 	Clock   port.Clock
 	Log     logr.Logger
 	Metrics port.Metrics
 }
 
-// Times of asks.
+// Intervals and time limits of the requests for units.
 const (
-	// renewEvery is how often what is held and expected is told.
-	renewEvery = 200 * time.Millisecond
-	// askTimeout bounds an ask: the way to another region and back.
+	// renewInterval is the interval at which held and expected units are reported.
+	renewInterval = 200 * time.Millisecond
+	// askTimeout bounds one exchange with a control host; it allows for a round trip to another
+	// region.
 	askTimeout = 400 * time.Millisecond
-	// hedgeAfter is when the next control host is asked as well.
-	hedgeAfter = 40 * time.Millisecond
-	// waitAtMost bounds how long a request waits for units.
-	waitAtMost = 450 * time.Millisecond
-	// silentFor is how long a control host is passed over that did not answer.
-	silentFor = time.Second
-	// refuseFor bounds how long requests of a team are refused without an ask, after one
-	// of the same size for which nobody had enough.
-	refuseFor = time.Second
-	// longestRetry bounds the time to come back.
-	longestRetry = time.Minute
+	// hedgeDelay is the time without an answer after which one more control host is asked.
+	hedgeDelay = 40 * time.Millisecond
+	// maxWait bounds how long a request waits for units.
+	maxWait = 450 * time.Millisecond
+	// failedAskBackoff is how long a control host is skipped after an exchange with it failed.
+	failedAskBackoff = time.Second
+	// maxRefusalWindow bounds how long a team's requests are refused without asking, after the
+	// control hosts had too few units for one of the same size or smaller.
+	maxRefusalWindow = time.Second
+	// maxRetryAfter bounds the retry time given to callers.
+	maxRetryAfter = time.Minute
 )
 
-// askMore is how many times more control hosts are asked once those that were asked had too
-// few.
-const askMore = 5
+// askFanoutGrowth limits each further round of asks: once the control hosts asked so far had
+// too few units, at most askFanoutGrowth times their number are asked next.
+const askFanoutGrowth = 5
 
-// Gate lets requests in on one host.
+// Gate charges the requests of one host to their teams' quotas.
 type Gate struct {
 	o     Options
 	epoch uint64
 
-	used     chan struct{} // closed with the first request of a team with a quota
-	firstUse sync.Once
+	quotaUsed chan struct{} // closed at the first request of a team with a quota
+	firstUse  sync.Once
 
 	mu      sync.Mutex
 	holder  *quota.Holder
-	teams   map[string]*waiting
+	queues  map[string]*teamQueue
 	issuers map[string]*issuerState // by address
 }
 
-// waiting is the requests of one team that wait for units.
-type waiting struct {
-	queue []*waiter
-	// asked are the control hosts that the present waiters asked; the value says whether one
-	// has given what it had.
-	asked   map[string]bool
-	moreIn  time.Duration // until what is needed is expected to be there; 0 while nobody said
-	refused refusedUntil
+// teamQueue holds the requests of one team that wait for units.
+type teamQueue struct {
+	waiters []*waiter
+	// asked holds the control hosts that were asked for the present waiters; the value is true
+	// once the control host has answered for this team.
+	asked       map[string]bool
+	availableIn time.Duration // shortest time that a control host gave until the units are available; 0 if none gave one
+	refused     refusalWindow
 }
 
-// refusedUntil is how requests of a team are refused without an ask.
-type refusedUntil struct {
-	until time.Time
-	units float64   // of the smallest request that is refused
-	back  time.Time // when to come back
+// refusalWindow is a period in which a team's requests of at least minUnits are refused without
+// asking.
+type refusalWindow struct {
+	until    time.Time
+	minUnits float64   // smallest cost in units that is refused
+	retryAt  time.Time // when callers may retry
 }
 
 type waiter struct {
@@ -128,39 +132,39 @@
 }
 
 type issuerState struct {
-	busy        bool
-	again       bool // something is to be said after the ask under way
-	silentUntil time.Time
-	sequence    uint64
+	inFlight  bool
+	askAgain  bool // send another ask when the current one ends
+	skipUntil time.Time
+	sequence  uint64
 }
 
-// New returns a gate without units.
+// New returns a Gate that holds no units.
 func New(o Options) *Gate {
 	return &Gate{
-		o: o, epoch: uint64(o.Clock.Now().UnixNano()), holder: quota.NewHolder(), used: make(chan struct{}),
-		teams: map[string]*waiting{}, issuers: map[string]*issuerState{},
+		o: o, epoch: uint64(o.Clock.Now().UnixNano()), holder: quota.NewHolder(), quotaUsed: make(chan struct{}),
+		queues: map[string]*teamQueue{}, issuers: map[string]*issuerState{},
 	}
 }
 
-// Take takes a request's units of its team's quota. The charge is nil for a team without a
-// quota. Where this host has too few, it asks the nearest control host, and the others when
-// that has too few or does not answer.
+// Take charges a request to its team's quota. The charge is nil for a team without a quota. If
+// this host holds too few units, Take asks the nearest control host, and further ones if that
+// one has too few or does not answer.
 func (g *Gate) Take(ctx context.Context, requestID string, t *configstate.Team, tokens float64) (*quota.Charge, *failure.Error) {
 	if t == nil || t.Quota == nil {
 		return nil, nil
 	}
-	g.firstUse.Do(func() { close(g.used) })
+	g.firstUse.Do(func() { close(g.quotaUsed) })
 	units := t.Quota.Cost(tokens)
 	began := g.o.Clock.Now()
 	g.mu.Lock()
 	g.holder.Ask(t.Name, units, began)
-	if q := g.teams[t.Name]; q == nil || len(q.queue) == 0 {
+	if q := g.queues[t.Name]; q == nil || len(q.waiters) == 0 {
 		if c, ok := g.holder.Take(t.Name, units, began); ok {
 			g.mu.Unlock()
 			return c, nil
 		}
 	}
-	w, f := g.enter(t, units, began)
+	w, f := g.enqueue(t, units, began)
 	g.mu.Unlock()
 	if f == nil {
 		f = g.await(ctx, t.Name, w)
@@ -175,7 +179,7 @@
 	return w.charge, nil
 }
 
-// Refund gives back what a request took that did not run.
+// Refund returns the units of a request that did not run.
 func (g *Gate) Refund(c *quota.Charge) {
 	if c == nil {
 		return
@@ -187,52 +191,52 @@
 	}
 }
 
-// enter lets a request wait for units, or refuses it. The gate is locked.
-func (g *Gate) enter(t *configstate.Team, units float64, now time.Time) (*waiter, *failure.Error) {
-	q := g.teams[t.Name]
+// enqueue adds a request to its team's queue, or refuses it at once. The caller holds g.mu.
+func (g *Gate) enqueue(t *configstate.Team, units float64, now time.Time) (*waiter, *failure.Error) {
+	q := g.queues[t.Name]
 	if q == nil {
-		q = &waiting{asked: map[string]bool{}}
-		g.teams[t.Name] = q
+		q = &teamQueue{asked: map[string]bool{}}
+		g.queues[t.Name] = q
 	}
-	if now.Before(q.refused.until) && units >= q.refused.units {
-		return nil, overQuota(t.Name, q.refused.back.Sub(now))
+	if now.Before(q.refused.until) && units >= q.refused.minUnits {
+		return nil, overQuota(t.Name, q.refused.retryAt.Sub(now))
 	}
 	w := &waiter{units: units, done: make(chan struct{})}
-	q.queue = append(q.queue, w)
+	q.waiters = append(q.waiters, w)
 	g.holder.Wait(t.Name, units)
 	if len(q.asked) == 0 && !g.askNext(q, 1, now) {
-		g.leave(t.Name, w)
-		return nil, g.unknown(t.Name)
+		g.remove(t.Name, w)
+		return nil, g.quotaUnknown(t.Name)
 	}
 	for addr := range q.asked {
-		g.start(addr)
+		g.scheduleAsk(addr)
 	}
 	return w, nil
 }
 
 func overQuota(team string, after time.Duration) *failure.Error {
 	return failure.New(failure.OverQuota, failure.NotRun, "team %q has used up its quota", team).
-		WithRetryAfter(min(max(after, time.Millisecond), longestRetry))
+		WithRetryAfter(min(max(after, time.Millisecond), maxRetryAfter))
 }
 
-func (g *Gate) unknown(team string) *failure.Error {
-	return failure.New(failure.QuotaUnknown, failure.NotRun, "no control host in reach gives out units of team %q", team).WithRetryAfter(silentFor)
+func (g *Gate) quotaUnknown(team string) *failure.Error {
+	return failure.New(failure.QuotaUnknown, failure.NotRun, "no reachable control host issues units of team %q", team).WithRetryAfter(failedAskBackoff)
 }
 
-// askNext lets the team's waiters ask the nearest control hosts that they have not asked, so
-// many at most. It reports whether there is one. The gate is locked.
-func (g *Gate) askNext(q *waiting, most int, now time.Time) bool {
+// askNext asks the nearest control hosts that the team's waiters have not asked yet, at most
+// limit of them, and reports whether it asked any. The caller holds g.mu.
+func (g *Gate) askNext(q *teamQueue, limit int, now time.Time) bool {
 	asked := 0
 	for _, addr := range g.o.Issuers() {
-		if _, done := q.asked[addr]; done || now.Before(g.issuer(addr).silentUntil) {
+		if _, done := q.asked[addr]; done || now.Before(g.issuer(addr).skipUntil) {
 			continue
 		}
-		if asked == most {
+		if asked == limit {
 			break
 		}
 		asked++
 		q.asked[addr] = false
-		g.start(addr)
+		g.scheduleAsk(addr)
 	}
 	return asked > 0
 }
@@ -246,9 +250,9 @@
 	return s
 }
 
-// await waits until a request has its units or is refused.
+// await waits until the request is charged or refused, ctx ends or maxWait has passed.
 func (g *Gate) await(ctx context.Context, team string, w *waiter) *failure.Error {
-	hedge, last := time.NewTimer(hedgeAfter), time.NewTimer(waitAtMost)
+	hedge, last := time.NewTimer(hedgeDelay), time.NewTimer(maxWait)
 	defer hedge.Stop()
 	defer last.Stop()
 	for {
@@ -257,7 +261,7 @@
 			return w.f
 		case <-hedge.C:
 			g.mu.Lock()
-			if q := g.teams[team]; q.answers() == 0 {
+			if q := g.queues[team]; q.answerCount() == 0 {
 				g.askNext(q, 1, g.o.Clock.Now())
 			}
 			g.mu.Unlock()
@@ -274,34 +278,35 @@
 		return w.f
 	default:
 	}
-	q := g.teams[team]
+	q := g.queues[team]
 	f := g.refusal(team, q)
-	g.leave(team, w)
+	g.remove(team, w)
 	return f
 }
 
-// refusal is what a request is told for which there are no units.
-func (g *Gate) refusal(team string, q *waiting) *failure.Error {
-	if q.moreIn > 0 {
-		return overQuota(team, q.moreIn)
+// refusal returns the failure for a request that gets no units: over quota if a control host
+// gave a time at which units are available, else quota unknown.
+func (g *Gate) refusal(team string, q *teamQueue) *failure.Error {
+	if q.availableIn > 0 {
+		return overQuota(team, q.availableIn)
 	}
-	return g.unknown(team)
+	return g.quotaUnknown(team)
 }
 
-// leave takes a waiter out. The gate is locked.
-func (g *Gate) leave(team string, w *waiter) {
-	q := g.teams[team]
-	for i, other := range q.queue {
+// remove removes a waiter from its team's queue. The caller holds g.mu.
+func (g *Gate) remove(team string, w *waiter) {
+	q := g.queues[team]
+	for i, other := range q.waiters {
 		if other == w {
-			q.queue = append(q.queue[:i:i], q.queue[i+1:]...)
+			q.waiters = append(q.waiters[:i:i], q.waiters[i+1:]...)
 			g.holder.Wait(team, -w.units)
 		}
 	}
-	q.settled()
+	q.resetIfEmpty()
 }
 
-// asks reports whether waiters ask a control host. There may be none.
-func (q *waiting) asks(addr string) bool {
+// hasAsked reports whether a control host was asked for the present waiters. q may be nil.
+func (q *teamQueue) hasAsked(addr string) bool {
 	if q == nil {
 		return false
 	}
@@ -309,8 +314,8 @@
 	return asked
 }
 
-// answers returns how many control hosts have answered the present waiters.
-func (q *waiting) answers() int {
+// answerCount returns how many control hosts have answered for the present waiters.
+func (q *teamQueue) answerCount() int {
 	n := 0
 	for _, answered := range q.asked {
 		if answered {
@@ -320,29 +325,30 @@
 	return n
 }
 
-// settled forgets the asks once nobody waits.
-func (q *waiting) settled() {
-	if len(q.queue) == 0 {
+// resetIfEmpty discards the state of the asks once no request waits.
+func (q *teamQueue) resetIfEmpty() {
+	if len(q.waiters) == 0 {
 		clear(q.asked)
-		q.moreIn = 0
+		q.availableIn = 0
 	}
 }
 
-// start sends an ask to a control host, now or after the one under way. The gate is locked.
-func (g *Gate) start(addr string) {
+// scheduleAsk sends an ask to a control host, at once or after the one in flight. The caller
+// holds g.mu.
+func (g *Gate) scheduleAsk(addr string) {
 	s := g.issuer(addr)
-	if s.busy {
-		s.again = true
+	if s.inFlight {
+		s.askAgain = true
 		return
 	}
 	now := g.o.Clock.Now()
 	list := g.o.Issuers()
 	nearest := len(list) > 0 && list[0] == addr
-	ask := g.holder.Compose(addr, nearest, func(team string) bool { return g.teams[team].asks(addr) }, now)
+	ask := g.holder.Compose(addr, nearest, func(team string) bool { return g.queues[team].hasAsked(addr) }, now)
 	if ask == nil {
 		return
 	}
-	s.busy, s.again = true, false
+	s.inFlight, s.askAgain = true, false
 	s.sequence++
 	ask.Epoch, ask.Sequence = g.epoch, s.sequence
 	go g.send(addr, ask, now)
@@ -359,12 +365,12 @@
 	defer g.mu.Unlock()
 	now := g.o.Clock.Now()
 	s := g.issuer(addr)
-	s.busy = false
+	s.inFlight = false
 	if err != nil || grant == nil {
-		s.silentUntil = now.Add(silentFor)
+		s.skipUntil = now.Add(failedAskBackoff)
 		g.o.Metrics.Add("quota_ask_failed", 1)
 		for _, p := range ask.Parts {
-			if q := g.teams[p.Team]; q != nil && len(q.queue) > 0 {
+			if q := g.queues[p.Team]; q != nil && len(q.waiters) > 0 {
 				g.askNext(q, 1, now)
 			}
 		}
@@ -372,22 +378,22 @@
 	}
 	g.holder.Granted(addr, ask, grant, sentAt)
 	for i, p := range ask.Parts {
-		g.serve(p.Team, now)
+		g.chargeWaiters(p.Team, now)
 		if i < len(grant.Shares) && p.Needed > 0 {
-			g.answered(addr, p.Team, grant.Shares[i], now)
+			g.handleShare(addr, p.Team, grant.Shares[i], now)
 		}
 	}
-	if s.again {
-		g.start(addr)
+	if s.askAgain {
+		g.scheduleAsk(addr)
 	}
 }
 
-// serve gives a team's waiters what there is, in the order in which they came: also what came
-// for requests that were only expected. The gate is locked.
-func (g *Gate) serve(team string, now time.Time) {
-	q := g.teams[team]
-	for q != nil && len(q.queue) > 0 {
-		w := q.queue[0]
+// chargeWaiters charges a team's waiters in arrival order while units last. It also spends
+// units that were granted for expected requests. The caller holds g.mu.
+func (g *Gate) chargeWaiters(team string, now time.Time) {
+	q := g.queues[team]
+	for q != nil && len(q.waiters) > 0 {
+		w := q.waiters[0]
 		c, ok := g.holder.Take(team, w.units, now)
 		if !ok {
 			return
@@ -397,47 +403,48 @@
 	}
 }
 
-// answered goes on with a team's waiters after a control host told what it has for them: they
-// ask further ones, or are refused. The gate is locked.
-func (g *Gate) answered(addr, team string, s *pb.QuotaShare, now time.Time) {
-	q := g.teams[team]
-	if len(q.queue) == 0 {
+// handleShare handles a control host's answer for a team. If the control host had too few
+// units, the waiters ask further ones, or are refused once all that were asked have answered.
+// The caller holds g.mu.
+func (g *Gate) handleShare(addr, team string, s *pb.QuotaShare, now time.Time) {
+	q := g.queues[team]
+	if len(q.waiters) == 0 {
 		return
 	}
 	q.asked[addr] = true
-	if more := time.Duration(min(s.MoreInMs, uint64(longestRetry.Milliseconds()))) * time.Millisecond; more > 0 && (q.moreIn == 0 || more < q.moreIn) {
-		q.moreIn = more
+	if more := time.Duration(min(s.MoreInMs, uint64(maxRetryAfter.Milliseconds()))) * time.Millisecond; more > 0 && (q.availableIn == 0 || more < q.availableIn) {
+		q.availableIn = more
 	}
 	switch {
 	case s.MoreInMs == 0 && !s.Unknown:
-		g.issuer(addr).again = true // for those that came after the ask
+		g.issuer(addr).askAgain = true // for requests queued after the ask was sent
 		return
-	case g.askNext(q, len(q.asked)*askMore, now), q.answers() < len(q.asked):
+	case g.askNext(q, len(q.asked)*askFanoutGrowth, now), q.answerCount() < len(q.asked):
 		return
 	}
 	f := g.refusal(team, q)
-	q.refused = refusedUntil{now.Add(min(f.RetryAfter, refuseFor)), q.queue[0].units, now.Add(f.RetryAfter)}
-	for len(q.queue) > 0 {
-		g.finish(team, q.queue[0], f)
+	q.refused = refusalWindow{now.Add(min(f.RetryAfter, maxRefusalWindow)), q.waiters[0].units, now.Add(f.RetryAfter)}
+	for len(q.waiters) > 0 {
+		g.finish(team, q.waiters[0], f)
 	}
 }
 
-// finish ends a waiter's wait. The gate is locked.
+// finish ends a waiter's wait with its charge or with f. The caller holds g.mu.
 func (g *Gate) finish(team string, w *waiter, f *failure.Error) {
 	w.f = f
 	close(w.done)
-	g.leave(team, w)
+	g.remove(team, w)
 }
 
-// Run tells the control hosts what is held and expected until ctx ends. A host that serves no
-// team with a quota has nothing to tell.
+// Run reports held and expected units to the control hosts until ctx ends. It starts with the
+// first request of a team with a quota, since a host without one has nothing to report.
 func (g *Gate) Run(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-g.used:
+	case <-g.quotaUsed:
 	}
-	t := time.NewTicker(renewEvery)
+	t := time.NewTicker(renewInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -449,18 +456,18 @@
 	}
 }
 
-// renew tells the nearest control host what is expected, and every other one of which
-// something is held.
+// renew sends an ask to the nearest control host, for the units that are expected to be needed,
+// and to every other one whose units this host holds.
 func (g *Gate) renew() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.o.Clock.Now()
 	for i, addr := range g.o.Issuers() {
-		if now.Before(g.issuer(addr).silentUntil) {
+		if now.Before(g.issuer(addr).skipUntil) {
 			continue
 		}
 		if i == 0 || g.holder.Holds(addr) {
-			g.start(addr)
+			g.scheduleAsk(addr)
 		}
 	}
 }
--- a/internal/app/access/access_test.go
+++ b/internal/app/access/access_test.go
@@ -17,7 +17,7 @@
 
 var team = &configstate.Team{Name: "hall", Quota: &configstate.Quota{Unit: configstate.UnitRequests, PerSecond: 10, Burst: 10}}
 
-// allowed is what the quota allows in a window, over all issuers.
+// bound is the limit on a quota's use within a window, over all issuers.
 var bound = quota.Bound{Window: time.Minute}
 
 type noMetrics struct{}
@@ -25,31 +25,31 @@
 func (noMetrics) Add(string, int64)             {}
 func (noMetrics) Observe(string, time.Duration) {}
 
-// fakeIssuers answers asks by address; one without an issuer never answers.
+// fakeIssuers answers asks by address. An address without an issuer does not answer.
 type fakeIssuers struct {
-	mu      sync.Mutex
-	at      map[string]*quota.Issuer
-	asked   map[string]int
-	refuses map[string]bool // answer with an error at once
+	mu        sync.Mutex
+	byAddr    map[string]*quota.Issuer
+	askCounts map[string]int
+	refuses   map[string]bool // addresses whose connections fail at once
 }
 
 func newIssuers(addrs ...string) *fakeIssuers {
-	f := &fakeIssuers{at: map[string]*quota.Issuer{}, asked: map[string]int{}, refuses: map[string]bool{}}
+	f := &fakeIssuers{byAddr: map[string]*quota.Issuer{}, askCounts: map[string]int{}, refuses: map[string]bool{}}
 	for _, a := range addrs {
 		now := time.Now()
 		i := quota.NewIssuer(quota.IssuerOptions{Bound: bound, Fresh: true}, now)
 		i.SetShare(1/float64(len(addrs)), true, now)
 		i.SetTeams([]configstate.Team{*team}, now)
 		i.Stored(i.ToStore(now))
-		f.at[a] = i
+		f.byAddr[a] = i
 	}
 	return f
 }
 
 func (f *fakeIssuers) Call(ctx context.Context, addr string, req *pb.Request) (*pb.Response, error) {
 	f.mu.Lock()
-	i, refuses := f.at[addr], f.refuses[addr]
-	f.asked[addr]++
+	i, refuses := f.byAddr[addr], f.refuses[addr]
+	f.askCounts[addr]++
 	f.mu.Unlock()
 	switch {
 	case refuses:
@@ -66,13 +66,13 @@
 }
 
 func (f *fakeIssuers) Open(context.Context, string, *pb.Request, []byte) (port.ForwardStream, bool, error) {
-	return nil, false, failure.New(failure.PeerUnreachable, failure.NotRun, "no forwards here")
+	return nil, false, failure.New(failure.PeerUnreachable, failure.NotRun, "forwards are not supported")
 }
 
-func (f *fakeIssuers) asks(addr string) int {
+func (f *fakeIssuers) askCount(addr string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.asked[addr]
+	return f.askCounts[addr]
 }
 
 func newGate(f *fakeIssuers, addrs ...string) *Gate {
@@ -88,17 +88,17 @@
 
 func TestTake(t *testing.T) {
 	cases := map[string]struct {
-		known   []string // issuers that give out units
+		known   []string // addresses with an issuer
 		list    []string // control hosts in reach, the nearest first
 		refuses []string
 		code    failure.Code
-		asked   string // that must have been asked
+		asked   string // address that must have been asked
 	}{
 		"the nearest has units":           {[]string{"c1", "c2"}, []string{"c1", "c2"}, nil, "", "c1"},
-		"the nearest answers nothing":     {[]string{"c2"}, []string{"c1", "c2"}, nil, "", "c2"},
+		"the nearest does not answer":     {[]string{"c2"}, []string{"c1", "c2"}, nil, "", "c2"},
 		"the nearest refuses connections": {[]string{"c1", "c2"}, []string{"c1", "c2"}, []string{"c1"}, "", "c2"},
-		"nobody answers":                  {nil, []string{"c1", "c2"}, nil, failure.QuotaUnknown, "c2"},
-		"nobody is in reach":              {nil, nil, nil, failure.QuotaUnknown, ""},
+		"none answers":                    {nil, []string{"c1", "c2"}, nil, failure.QuotaUnknown, "c2"},
+		"none is reachable":               {nil, nil, nil, failure.QuotaUnknown, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -113,14 +113,15 @@
 			case c.code != "" && (got == nil || got.Code != c.code || got.Outcome != failure.NotRun || got.RetryAfter <= 0):
 				t.Errorf("got %v, want %s", got, c.code)
 			}
-			if c.asked != "" && f.asks(c.asked) == 0 {
+			if c.asked != "" && f.askCount(c.asked) == 0 {
 				t.Errorf("%s was not asked", c.asked)
 			}
 		})
 	}
 }
 
-// TestTakeWithoutQuota asks nobody.
+// TestTakeWithoutQuota checks that no control host is asked for a request without a team or of
+// a team without a quota.
 func TestTakeWithoutQuota(t *testing.T) {
 	f := newIssuers("c1")
 	g := newGate(f, "c1")
@@ -129,13 +130,13 @@
 			t.Errorf("charged %v, refused with %v", charge, got)
 		}
 	}
-	if f.asks("c1") != 0 {
+	if f.askCount("c1") != 0 {
 		t.Error("a control host was asked")
 	}
 }
 
-// TestOverTheQuota takes all that two control hosts have. What follows is refused with a time
-// to come back, and without asking again for each request.
+// TestOverTheQuota uses up the units of two control hosts. Further requests must be refused
+// with a retry time, and without an ask for each of them.
 func TestOverTheQuota(t *testing.T) {
 	f := newIssuers("c1", "c2")
 	g := newGate(f, "c1", "c2")
@@ -147,21 +148,21 @@
 		}
 		taken++
 	}
-	if taken > allowed || taken < allowed-2 { // each issuer's part need not be whole units
-		t.Fatalf("%d taken, %d are allowed", taken, allowed)
+	if taken > allowed || taken < allowed-2 { // an issuer's part may end in a fraction of a unit
+		t.Fatalf("%d requests were charged, the bound allows %d", taken, allowed)
 	}
-	before := f.asks("c1") + f.asks("c2")
+	before := f.askCount("c1") + f.askCount("c2")
 	for range 100 {
 		if _, got := take(g); got == nil || got.Code != failure.OverQuota || got.RetryAfter <= 0 {
 			t.Fatalf("got %v", got)
 		}
 	}
-	if asks := f.asks("c1") + f.asks("c2") - before; asks > 20 {
-		t.Errorf("%d asks for 100 requests that were refused", asks)
+	if asks := f.askCount("c1") + f.askCount("c2") - before; asks > 20 {
+		t.Errorf("%d asks were sent for 100 refused requests, want at most 20", asks)
 	}
 }
 
-// BenchmarkTake is the cost of a quota on the way of a request that finds its units in hand.
+// BenchmarkTake measures Take for a request whose units the host already holds.
 func BenchmarkTake(b *testing.B) {
 	g := newGate(newIssuers("c1"), "c1")
 	now := time.Now()
