--- a/internal/app/entry/config.go
+++ b/internal/app/entry/config.go
@@ -10,7 +10,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// request returns a request with the sender's fields filled in.
+// request returns a message to another host with the sender's fields set.
 func (h *Host) request() *pb.Request {
 	h.mu.Lock()
 	inc := h.members.Incarnation()
@@ -18,20 +18,20 @@
 	return &pb.Request{From: h.o.ID, Incarnation: inc, Stamp: h.Stamp(), MaxSchema: configstate.CurrentSchema}
 }
 
-// call sends a request and takes in the stamp of its response.
+// call sends a request and records the configuration stamp of the response.
 func (h *Host) call(ctx context.Context, addr string, req *pb.Request) (*pb.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := h.o.Peers.Call(ctx, addr, req)
 	if err == nil {
-		h.heardStamp(resp.From, addr, resp.Stamp, resp.MaxSchema)
+		h.recordStamp(resp.From, addr, resp.Stamp, resp.MaxSchema)
 	}
 	return resp, err
 }
 
-// heardStamp notes the configuration that another host has in force, and
-// fetches it when it is newer.
-func (h *Host) heardStamp(from, addr string, stamp *pb.ConfigStamp, schema uint32) {
+// recordStamp records the configuration that another host has in force, and fetches it in the
+// background if it is newer.
+func (h *Host) recordStamp(from, addr string, stamp *pb.ConfigStamp, schema uint32) {
 	h.mu.Lock()
 	h.versions[from] = hostVersion{stamp, schema, h.o.Clock.Now()}
 	h.mu.Unlock()
@@ -45,13 +45,13 @@
 	go func() {
 		defer h.wg.Done()
 		defer h.fetching.Unlock()
-		h.fetchFrom(context.Background(), h.sourcesOf(from, addr))
+		h.fetchFrom(context.Background(), h.configSources(from, addr))
 	}()
 }
 
-// sourcesOf returns where a newer configuration can be had: the host that
-// mentioned it first, then the control hosts.
-func (h *Host) sourcesOf(from, addr string) []string {
+// configSources returns the peer addresses to fetch a newer configuration from: first the host
+// that reported it, then the control hosts in random order.
+func (h *Host) configSources(from, addr string) []string {
 	var out []string
 	if addr != "" {
 		out = append(out, addr)
@@ -65,7 +65,8 @@
 	return append(out, control...)
 }
 
-// fetchFrom installs the configuration of the first source that has a newer one.
+// fetchFrom installs the configuration of the first source that has a newer one, and reports
+// whether there was one.
 func (h *Host) fetchFrom(ctx context.Context, sources []string) bool {
 	for _, addr := range sources {
 		if h.fetchOne(ctx, addr) {
@@ -88,7 +89,7 @@
 	return h.install(resp.GetConfig()) == nil
 }
 
-// install puts a configuration in force when it is newer, whole and signed.
+// install puts a configuration in force if it is newer, complete and signed.
 func (h *Host) install(blob *pb.ConfigBlob) error {
 	h.ledger.mu.Lock()
 	defer h.ledger.mu.Unlock()
@@ -102,7 +103,7 @@
 		h.o.Metrics.Add("config_refused", 1)
 		return err
 	}
-	v := h.derive(next)
+	v := h.newView(next)
 	h.ledger.setMembers(v)
 	h.mu.Lock()
 	ids := make([]string, 0, len(v.peers))
@@ -120,7 +121,7 @@
 	return nil
 }
 
-func (h *Host) derive(in *configstate.Installed) *view {
+func (h *Host) newView(in *configstate.Installed) *view {
 	v := &view{Installed: in, hosts: map[string]configstate.Host{}}
 	for _, host := range in.Record.Hosts {
 		v.hosts[host.ID] = host
@@ -131,10 +132,11 @@
 	return v
 }
 
-// seek asks all neighbours for their configuration until one is in force. The
-// host is not ready before each of them had the chance to answer once.
-func (h *Host) seek(ctx context.Context) {
-	if h.asked.Load() && h.config.Load() != nil {
+// fetchInitialConfig asks each seed and control host for its configuration, at each call until
+// a configuration is in force. The host isn't ready before each of them had the chance to
+// answer once.
+func (h *Host) fetchInitialConfig(ctx context.Context) {
+	if h.peersQueried.Load() && h.config.Load() != nil {
 		return
 	}
 	for _, addr := range append(append([]string(nil), h.o.Seeds...), h.o.Control...) {
@@ -143,15 +145,16 @@
 		}
 	}
 	if h.config.Load() != nil {
-		h.asked.Store(true)
+		h.peersQueried.Store(true)
 	}
 }
 
-// report tells the control hosts which versions this failure domain has in
-// force; one host of the failure domain does it.
-func (h *Host) report(ctx context.Context) {
+// reportVersions reports to the control hosts which configuration versions this failure
+// domain's hosts have in force, and publishes the client directory. Only one host of the
+// failure domain does so; see isReporter.
+func (h *Host) reportVersions(ctx context.Context) {
 	v := h.config.Load()
-	if v == nil || !h.isSpeaker(v) {
+	if v == nil || !h.isReporter(v) {
 		return
 	}
 	now := h.o.Clock.Now()
@@ -177,7 +180,7 @@
 	h.publishDirectory(ctx, v)
 }
 
-// shortStamp leaves out the digest, which reports do not need.
+// shortStamp returns the stamp without its digest, which reports don't need.
 func shortStamp(s *pb.ConfigStamp) *pb.ConfigStamp {
 	return &pb.ConfigStamp{Generation: s.GetGeneration(), Version: s.GetVersion()}
 }
@@ -190,8 +193,9 @@
 	return out
 }
 
-// configReply answers another host's fetch: with a delta when that host has the
-// version before the one in force, else with the whole record.
+// configReply answers another host's fetch: with a delta if that host has the version before
+// the one in force, else with the whole record. It returns nil while no configuration is in
+// force.
 func (h *Host) configReply(f *pb.ConfigFetch) *pb.ConfigBlob {
 	v := h.config.Load()
 	if v == nil {
--- a/internal/app/entry/crashes.go
+++ b/internal/app/entry/crashes.go
@@ -10,22 +10,23 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// fingerprintOf identifies what the request asks a server to run.
+// fingerprintOf returns the fingerprint of the work that the request asks a server for.
 func fingerprintOf(r *Request) quarantine.Fingerprint {
 	return quarantine.Identity{Caller: r.Team, Method: r.Method, Host: r.Target, Target: r.URI, Body: r.Body}.Fingerprint()
 }
 
-// breakOf names the start of a place's server, as it is when the attempt begins.
+// breakOf identifies the process of a place's server when the attempt begins, to be reported if
+// the attempt's connection breaks.
 func (h *Host) breakOf(p *placement.Place) quarantine.Break {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return quarantine.Break{Start: quarantine.Start{ID: p.ServerID, Born: int64(p.Server.State.Incarnation)}, Address: p.Address}
 }
 
-// noteSurvival tells the watch how an attempt went for its server. Only an answer that came to
-// its end, and a connection that the server ended, say anything of it: not a caller that left,
-// a deadline, a stall, or a server that was leaving.
-func (h *Host) noteSurvival(ctx context.Context, x *execution, b quarantine.Break, res result) {
+// reportToCrashWatch reports to the crash watch how an attempt ended for its server. Only a
+// complete answer, and a connection that the server ended, are evidence about the server. A
+// caller that canceled, a deadline, a stall, and a server that was shutting down are not.
+func (h *Host) reportToCrashWatch(ctx context.Context, x *execution, b quarantine.Break, res result) {
 	switch {
 	case res.point == retry.Answered:
 		h.o.Crashes.Served(x.fingerprint)
@@ -42,8 +43,8 @@
 	}
 }
 
-// watchServers tells the watch which servers are known.
-func (h *Host) watchServers() {
+// refreshCrashWatch passes the known backend servers to the crash watch.
+func (h *Host) refreshCrashWatch() {
 	if h.o.Crashes.Idle() {
 		return
 	}
@@ -58,32 +59,35 @@
 	h.o.Crashes.Heard(servers)
 }
 
-// maxCrashRecords bounds the records in one message.
+// maxCrashRecords bounds the crash records in one message.
 const maxCrashRecords = 128
 
-// crashNews is whom this host told what of crashing requests, and what control hosts told it.
-type crashNews struct {
-	wake  chan struct{}
-	mu    sync.Mutex
-	peers map[string]*crashPeer // by peer address
-	polls int
+// crashSync holds, for each other host, which crash records were sent to it and received from
+// it.
+type crashSync struct {
+	wake   chan struct{}
+	mu     sync.Mutex
+	peers  map[string]*crashPeer // by peer address
+	rounds int
 }
 
-func newCrashNews() *crashNews {
-	return &crashNews{wake: make(chan struct{}, 1), peers: map[string]*crashPeer{}}
+func newCrashSync() *crashSync {
+	return &crashSync{wake: make(chan struct{}, 1), peers: map[string]*crashPeer{}}
 }
 
-// crashPeer is one other host: the revision up to which it was told, and for a control host
-// the position in its news.
+// crashPeer is the state of the exchange with one other host: the revision of this host's
+// records up to which it has received them and, for a control host, the epoch of its log and
+// the position in it up to which this host has received it.
 type crashPeer struct {
-	busy        bool
-	toldAll     bool
-	told        uint64
-	epoch, have uint64
+	inFlight        bool
+	sentAll         bool
+	sentRevision    uint64
+	epoch, position uint64
 }
 
-// start returns the state of a peer to which no message is under way; nil when one is.
-func (n *crashNews) start(addr string) *crashPeer {
+// begin returns the state of a peer and marks an exchange with it as in flight. It returns nil
+// if one is in flight already.
+func (n *crashSync) begin(addr string) *crashPeer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := n.peers[addr]
@@ -91,23 +95,24 @@
 		p = &crashPeer{}
 		n.peers[addr] = p
 	}
-	if p.busy {
+	if p.inFlight {
 		return nil
 	}
-	p.busy = true
+	p.inFlight = true
 	return p
 }
 
-func (n *crashNews) end(p *crashPeer) {
+func (n *crashSync) end(p *crashPeer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p.busy = false
+	p.inFlight = false
 }
 
-// tellCrashes tells the hosts of the failure domain and the control hosts what this host saw of
-// crashing requests, and asks one control host in turn what others saw. Control hosts put
-// together what is seen in different failure domains; inside of one, hosts know it without them.
-func (h *Host) tellCrashes(ctx context.Context) {
+// syncCrashRecords sends this host's crash records to the live hosts of the failure domain and
+// to the control hosts, and asks one control host in turn for the records of other hosts.
+// Control hosts combine what is seen in different failure domains; within one, hosts exchange
+// their records directly.
+func (h *Host) syncCrashRecords(ctx context.Context) {
 	v := h.config.Load()
 	if v == nil {
 		return
@@ -117,30 +122,31 @@
 	live := h.members.Live()
 	h.mu.Unlock()
 	for _, id := range live {
-		h.tellCrashesTo(ctx, v.hosts[id].Peer, false)
+		h.sendCrashRecords(ctx, v.hosts[id].Peer, false)
 	}
 	h.crashes.mu.Lock()
-	h.crashes.polls++
-	turn := h.crashes.polls
+	h.crashes.rounds++
+	turn := h.crashes.rounds
 	h.crashes.mu.Unlock()
 	for i, addr := range h.o.Control {
-		h.tellCrashesTo(ctx, addr, turn%len(h.o.Control) == i)
+		h.sendCrashRecords(ctx, addr, turn%len(h.o.Control) == i)
 	}
 }
 
-// tellCrashesTo tells one host what is news to it, when there is any or its own news are wanted.
-func (h *Host) tellCrashesTo(ctx context.Context, addr string, ask bool) {
-	p := h.crashes.start(addr)
+// sendCrashRecords sends one host the records that it has not received. With ask set, it sends
+// a message even if there are none, since the response carries a control host's records.
+func (h *Host) sendCrashRecords(ctx context.Context, addr string, ask bool) {
+	p := h.crashes.begin(addr)
 	if p == nil {
 		return
 	}
 	wanted := quarantine.Own
-	if !p.toldAll {
+	if !p.sentAll {
 		wanted = quarantine.All
 	}
-	records, next := h.o.Crashes.Since(p.told, maxCrashRecords, wanted)
+	records, next := h.o.Crashes.Since(p.sentRevision, maxCrashRecords, wanted)
 	if len(records) == 0 && !ask {
-		p.told = next
+		p.sentRevision = next
 		h.crashes.end(p)
 		return
 	}
@@ -149,24 +155,24 @@
 		defer h.wg.Done()
 		defer h.crashes.end(p)
 		req := h.request()
-		req.Body = &pb.Request_QuarantineUpdate{QuarantineUpdate: &pb.QuarantineUpdate{Records: records, Epoch: p.epoch, Have: p.have}}
+		req.Body = &pb.Request_QuarantineUpdate{QuarantineUpdate: &pb.QuarantineUpdate{Records: records, Epoch: p.epoch, Have: p.position}}
 		resp, err := h.call(ctx, addr, req)
 		if err != nil {
-			p.toldAll, p.told = false, 0 // it may have restarted and know nothing
+			p.sentAll, p.sentRevision = false, 0 // the peer may have restarted without its records
 			return
 		}
-		p.told = next
-		p.toldAll = p.toldAll || len(records) < maxCrashRecords
+		p.sentRevision = next
+		p.sentAll = p.sentAll || len(records) < maxCrashRecords
 		if m := resp.GetQuarantineUpdate(); m != nil {
-			h.takeCrashes(addr, p, m)
+			h.mergeCrashRecords(addr, p, m)
 		}
 	}()
 }
 
-func (h *Host) takeCrashes(addr string, p *crashPeer, m *pb.QuarantineUpdate) {
+func (h *Host) mergeCrashRecords(addr string, p *crashPeer, m *pb.QuarantineUpdate) {
 	if p.epoch != 0 && m.Epoch != p.epoch {
-		p.toldAll, p.told = false, 0
+		p.sentAll, p.sentRevision = false, 0
 	}
-	p.epoch, p.have = m.Epoch, m.Next
+	p.epoch, p.position = m.Epoch, m.Next
 	h.o.Crashes.Merge(m.Records, addr)
 }
--- a/internal/app/entry/entry_test.go
+++ b/internal/app/entry/entry_test.go
@@ -43,18 +43,18 @@
 "operators":[{"name":"o","key_hashes":[%q]}],"policy":{"retry_budget":1}}`, zeros, strings.Repeat("1", 64))
 }
 
-// attemptResult scripts one attempt at a backend server.
+// attemptResult is the scripted result of one attempt at a backend server.
 type attemptResult struct {
-	dial    bool   // the connection fails
-	lost    bool   // sent, then the connection breaks
-	refused bool   // the server states that it did not start
-	body    string // what arrives of the answer
-	broken  bool   // the body breaks off
-	stream  bool
-	status  int // 200 when 0
+	dialFails bool   // the connection fails
+	lost      bool   // sent, then the connection breaks
+	refused   bool   // the server reports that it did not start the request
+	body      string // the part of the answer that arrives
+	broken    bool   // the body breaks off
+	stream    bool
+	status    int // 200 when 0
 }
 
-// fakeBackends plays a script and counts what was executed.
+// fakeBackends returns scripted results, the last one repeatedly, and counts executed requests.
 type fakeBackends struct {
 	mu       sync.Mutex
 	script   []attemptResult
@@ -71,7 +71,7 @@
 	f.calls = append(f.calls, c)
 	s := f.script[n]
 	switch {
-	case s.dial:
+	case s.dialFails:
 		return nil, false, failure.New(failure.BackendLost, failure.NotRun, "connection refused")
 	case s.refused:
 		return &port.BackendAnswer{Status: http.StatusServiceUnavailable, Refused: true, Body: io.NopCloser(strings.NewReader(""))}, true, nil
@@ -110,7 +110,7 @@
 	return nil, false, failure.New(failure.PeerUnreachable, failure.NotRun, "no network")
 }
 
-// memorySink keeps an answer.
+// memorySink records an answer.
 type memorySink struct {
 	head Head
 	body bytes.Buffer
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// newTestHost returns a ready host with two servers, whose ledger votes.
+// newTestHost returns a ready host with three engines and three service servers, whose ledger
+// replica is active.
 func newTestHost(t *testing.T, b port.Backends, peers port.Peers, edit ...func(*Options)) *Host {
 	t.Helper()
 	o := Options{
@@ -142,7 +143,7 @@
 	if err := h.install(blob(1, testRecord())); err != nil {
 		t.Fatal(err)
 	}
-	h.asked.Store(true)
+	h.peersQueried.Store(true)
 	h.ledger.tick(context.Background())
 	for i, kind := range []string{"engine", "engine", "engine", "service", "service", "service"} {
 		name := map[string]string{"engine": "m", "service": "shop"}[kind]
@@ -175,10 +176,9 @@
 	doneEnd = "data: [DONE]\n\n"
 )
 
-// TestOutcomes is the contract towards callers: each point at which an attempt
-// can break, for orders, chats and streams; what the caller is told, how many
-// attempts are made, how often the work ran, and what a resend with the same
-// key gets.
+// TestOutcomes checks the contract with callers for each point at which an attempt can fail,
+// for orders (not idempotent), chats and streams: the outcome that the caller receives, the
+// number of attempts and of executions, and what a resend with the same key receives.
 func TestOutcomes(t *testing.T) {
 	ok := attemptResult{body: whole}
 	streamed := func(events ...string) attemptResult {
@@ -197,12 +197,12 @@
 		body     string
 		attempts int
 		executed int
-		resend   failure.Outcome // of a second send with the same key; "" for none
+		resend   failure.Outcome // outcome of a resend with the same key; "" if not tested
 	}{
 		{"order answered", func() *Request { return order("k") }, []attemptResult{ok}, failure.Done, whole, 1, 1, failure.Done},
-		{"order, first server not reached", func() *Request { return order("k") }, []attemptResult{{dial: true}, ok}, failure.Done, whole, 2, 1, failure.Done},
+		{"order, first server not reached", func() *Request { return order("k") }, []attemptResult{{dialFails: true}, ok}, failure.Done, whole, 2, 1, failure.Done},
 		{"order, first server refuses", func() *Request { return order("k") }, []attemptResult{{refused: true}, ok}, failure.Done, whole, 2, 1, failure.Done},
-		{"order, none reached", func() *Request { return order("k") }, []attemptResult{{dial: true}}, failure.NotRun, "", 3, 0, failure.NotRun},
+		{"order, none reached", func() *Request { return order("k") }, []attemptResult{{dialFails: true}}, failure.NotRun, "", 3, 0, failure.NotRun},
 		{"order, all refuse", func() *Request { return order("k") }, []attemptResult{{refused: true}}, failure.NotRun, "", 3, 0, failure.NotRun},
 		{"order sent, connection lost", func() *Request { return order("k") }, []attemptResult{{lost: true}, ok}, failure.Unknown, "", 1, 1, failure.Unknown},
 		{"order, answer breaks off", func() *Request { return order("k") }, []attemptResult{{body: "{", broken: true}, ok}, failure.Unknown, "", 1, 1, failure.Unknown},
@@ -211,8 +211,8 @@
 		{"chat, answer breaks off", func() *Request { return chat(false) }, []attemptResult{{body: "{", broken: true}, ok}, failure.Done, whole, 2, 2, ""},
 		{"chat, always lost", func() *Request { return chat(false) }, []attemptResult{{lost: true}}, failure.Unknown, "", 3, 3, ""},
 		{"chat lost, then refused", func() *Request { return chat(false) }, []attemptResult{{lost: true}, {refused: true}}, failure.Unknown, "", 3, 1, ""},
-		{"chat lost, then none reached", func() *Request { return chat(false) }, []attemptResult{{lost: true}, {dial: true}}, failure.Unknown, "", 3, 1, ""},
-		{"chat, none reached", func() *Request { return chat(false) }, []attemptResult{{dial: true}}, failure.NotRun, "", 3, 0, ""},
+		{"chat lost, then none reached", func() *Request { return chat(false) }, []attemptResult{{lost: true}, {dialFails: true}}, failure.Unknown, "", 3, 1, ""},
+		{"chat, none reached", func() *Request { return chat(false) }, []attemptResult{{dialFails: true}}, failure.NotRun, "", 3, 0, ""},
 		{"stream", func() *Request { return chat(true) }, []attemptResult{streamed(event1, event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 1, 1, ""},
 		{"stream breaks off, resumed", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), streamed(event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 2, 2, ""},
 		{"stream ends early, resumed", func() *Request { return chat(true) }, []attemptResult{streamed(event1), streamed(event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 2, 2, ""},
@@ -276,8 +276,8 @@
 	}
 }
 
-// TestAnswerTooLargeToKeep resends an order whose answer was over the limit: the
-// caller learns that the work is done, and gets no short answer that looks whole.
+// TestAnswerTooLargeToKeep resends an order whose answer was over the limit: the caller must
+// receive the outcome "done", and no truncated answer that looks complete.
 func TestAnswerTooLargeToKeep(t *testing.T) {
 	large := strings.Repeat("x", 300<<10)
 	b := &fakeBackends{script: []attemptResult{{body: large}}}
@@ -305,7 +305,7 @@
 	}
 }
 
-func TestKeyWithoutIssueTimeIsOldAfterAForgettingStart(t *testing.T) {
+func TestKeyWithoutIssueTimeIsTooOldAfterRestart(t *testing.T) {
 	b := &fakeBackends{script: []attemptResult{{body: whole}}}
 	h := newTestHost(t, b, noPeers{})
 	r := order("k")
@@ -316,9 +316,9 @@
 	}
 }
 
-// TestOwnKeyIsNeverForgotten sends an order without a key to a host whose
-// ledger's memory begins in the future.
-func TestOwnKeyIsNeverForgotten(t *testing.T) {
+// TestGeneratedKeyIsNeverTooOld sends an order without a key to a host whose ledger's records
+// begin in the future.
+func TestGeneratedKeyIsNeverTooOld(t *testing.T) {
 	b := &fakeBackends{script: []attemptResult{{body: whole}}}
 	h := newTestHost(t, b, noPeers{}, func(o *Options) { o.Skew = time.Minute })
 	r := order("")
@@ -326,8 +326,9 @@
 	check(t, h.Execute(context.Background(), r, &memorySink{}), failure.Done)
 }
 
-// TestPrefixesArePassedOnOnce announces the same cached prefixes again and again.
-func TestPrefixesArePassedOnOnce(t *testing.T) {
+// TestPrefixesAreSentOnce announces the same cached prefixes repeatedly: each must be sent
+// once between two updates with all prefixes.
+func TestPrefixesAreSentOnce(t *testing.T) {
 	h := newTestHost(t, &fakeBackends{}, noPeers{})
 	passed := map[int]int{}
 	for i := range 2 * allPrefixesEvery {
@@ -350,7 +351,7 @@
 	}
 }
 
-// recordingPeers records what would leave this host.
+// recordingPeers records the forwards that this host would open.
 type recordingPeers struct {
 	noPeers
 	mu     sync.Mutex
@@ -366,20 +367,21 @@
 	return nil, false, failure.New(failure.PeerUnreachable, failure.NotRun, "no network")
 }
 
-// offerElsewhere tells the host of a rich other region.
-func offerElsewhere(h *Host) {
-	h.takeSummaries(&pb.SummaryUpdate{Summaries: []*pb.Summary{{
+// addRemoteDomain gives the host the summary of a failure domain with large capacity in another
+// region.
+func addRemoteDomain(h *Host) {
+	h.mergeSummaries(&pb.SummaryUpdate{Summaries: []*pb.Summary{{
 		FailureDomain: "g", Region: "q", Sequence: 1, Hosts: []string{"k"},
 		Models: []*pb.ModelSummary{{Name: "engine/m", Servers: 100, Slots: 1000, ServiceMs: 10}, {Name: "service/shop", Servers: 10, Slots: 1000, ServiceMs: 10}},
 	}}})
 }
 
-// TestResidencyIsAskedBySenderAndReceiver changes the rules between the choice
-// and the sending, and sends a forward where the receiver's rules forbid it.
-func TestResidencyIsAskedBySenderAndReceiver(t *testing.T) {
+// TestResidencyIsCheckedBySenderAndReceiver changes the rules between the choice of a place and
+// the forward, and sends a forward to a host whose rules forbid it.
+func TestResidencyIsCheckedBySenderAndReceiver(t *testing.T) {
 	p := &recordingPeers{}
-	h := newTestHost(t, &fakeBackends{script: []attemptResult{{dial: true}}}, p)
-	offerElsewhere(h)
+	h := newTestHost(t, &fakeBackends{script: []attemptResult{{dialFails: true}}}, p)
+	addRemoteDomain(h)
 	r := chat(false)
 	x := &execution{r: r, view: h.config.Load(), permitted: []string{"q", "r"}, sink: &memorySink{}, avoid: map[string]bool{}, explain: h.explained.start(r, h.o)}
 	for i := range 3 {
@@ -397,16 +399,16 @@
 	if res.err == nil || res.err.Code != failure.Residency || len(p.opened) > 0 {
 		t.Errorf("result %v, %d forwards opened", res.err, len(p.opened))
 	}
-	// A forward of a request that is bound to another region.
+	// The receiver's rules bind the forwarded request to another region.
 	in := h.forwardedRequest(h.config.Load(), &pb.Forward{AttemptId: "a", Path: []string{"k"}, Team: "bound", Model: "m", Method: "POST"}, nil)
 	if f := h.Execute(context.Background(), in, &memorySink{}); f == nil || f.Code != failure.Residency {
 		t.Errorf("the receiver took a request that its rules forbid: %v", f)
 	}
 }
 
-func TestRequestThatMayNotBeHereIsSentAway(t *testing.T) {
+func TestRequestNotPermittedInRegionIsRedirected(t *testing.T) {
 	h := newTestHost(t, &fakeBackends{script: []attemptResult{{body: whole}}}, noPeers{})
-	offerElsewhere(h)
+	addRemoteDomain(h)
 	r := chat(false)
 	r.Team = "bound"
 	f := h.Execute(context.Background(), r, &memorySink{})
@@ -418,7 +420,7 @@
 	}
 }
 
-func TestInstallRefusesWhatIsNotNewerWholeAndSigned(t *testing.T) {
+func TestInstallRequiresNewerCompleteSignedConfig(t *testing.T) {
 	h := newTestHost(t, &fakeBackends{}, noPeers{})
 	good := blob(2, testRecord())
 	for _, c := range []struct {
@@ -447,7 +449,7 @@
 		})
 	}
 	if err := h.install(good); err != nil || h.Stamp().Version != 2 {
-		t.Errorf("the good one: %v", err)
+		t.Errorf("the valid configuration was refused: %v", err)
 	}
 }
 
--- a/internal/app/entry/execute.go
+++ b/internal/app/entry/execute.go
@@ -16,7 +16,7 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// execution is the state of one request under way on this host.
+// execution is the state of one request in flight on this host.
 type execution struct {
 	r         *Request
 	view      *view
@@ -25,32 +25,32 @@
 	avoid     map[string]bool // servers and failure domains that failed
 	waited    time.Duration
 	attempts  int
-	relayed   int  // tokens passed on
-	headSent  bool // the answer's head was passed on
-	ended     bool // the stream's last event was passed on
-	// mayHaveRun is set when an attempt ended without proof that it did not run.
+	relayed   int  // tokens that the caller has received, over all attempts
+	headSent  bool // the answer's head was sent to the caller
+	ended     bool // the stream's last event was sent to the caller
+	// mayHaveRun is set once an attempt ended without proof that the request did not run.
 	mayHaveRun bool
 	explain    *Explanation
 	began      time.Time
 	lastToken  time.Time
-	// fingerprint is the same for each repeat of the request, judgement how it stood at the
-	// last attempt.
+	// fingerprint is equal for all repeats of the request; judgement is the crash watch's
+	// verdict on it at the last attempt.
 	fingerprint quarantine.Fingerprint
 	judgement   quarantine.Judgement
 }
 
-// Execute carries out a request and passes its answer to sink. The failure
-// states whether the request ran.
+// Execute runs a request and writes its answer to sink. A returned failure states whether the
+// request ran.
 func (h *Host) Execute(ctx context.Context, r *Request, sink Sink) *failure.Error {
-	// In flight first, ready second: a shutdown that sees nothing in flight can
-	// be sure that every later request sees it.
+	// The request is registered before the readiness check: Drain marks the host as draining
+	// and then looks for requests in flight, so one that Drain does not see is refused below.
 	h.inflight.Store(r.ID, h.o.Clock.Now())
 	defer h.inflight.Delete(r.ID)
 	if f := h.Ready(); f != nil {
 		return f
 	}
 	v := h.config.Load()
-	permitted, f := h.residencyHere(v, r)
+	permitted, f := h.checkResidency(v, r)
 	if f != nil {
 		h.o.Metrics.Add("refused_residency", 1)
 		return f
@@ -68,25 +68,25 @@
 	h.mu.Lock()
 	h.budget.Request(h.o.Clock.Now())
 	h.mu.Unlock()
-	f = h.charged(ctx, x, func() *failure.Error {
+	f = h.withQuota(ctx, x, func() *failure.Error {
 		if r.Idempotent || r.forwarded() {
 			return h.run(ctx, x)
 		}
 		return h.runOnce(ctx, x)
 	})
-	h.account(x, f)
+	h.recordOutcome(x, f)
 	return f
 }
 
-// charged takes the request's units of its team's quota, at the host where it entered, and
-// gives them back when it did not run.
-func (h *Host) charged(ctx context.Context, x *execution, run func() *failure.Error) *failure.Error {
+// withQuota charges the request to its team's quota, at the host where it entered, and refunds
+// the units if it did not run.
+func (h *Host) withQuota(ctx context.Context, x *execution, run func() *failure.Error) *failure.Error {
 	if x.r.forwarded() {
 		return run()
 	}
 	team, ok := x.view.Record.Team(x.r.Team)
 	if !ok {
-		return run() // the team's key was found in another version
+		return run() // not charged: the key was found in another version, and this one lacks the team
 	}
 	c, f := h.access.Take(ctx, x.r.ID, &team, x.r.Tokens+x.r.MaxTokens)
 	if f != nil {
@@ -98,7 +98,7 @@
 	return f
 }
 
-func (h *Host) account(x *execution, f *failure.Error) {
+func (h *Host) recordOutcome(x *execution, f *failure.Error) {
 	x.explain.finish(f, x.waited)
 	outcome := "done"
 	if f != nil {
@@ -111,14 +111,14 @@
 	h.o.Metrics.Observe("total_"+outcome, h.o.Clock.Now().Sub(x.began))
 }
 
-// result is how an attempt ended.
+// result describes how an attempt ended.
 type result struct {
 	point     retry.Break
 	err       *failure.Error
-	connected bool // the other end worked as it should
+	connected bool // the server or entry host did not fail, whatever the outcome
 }
 
-// run makes attempts until one is answered or none is left.
+// run makes attempts until one succeeds or no further one is allowed.
 func (h *Host) run(ctx context.Context, x *execution) *failure.Error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = 10 * time.Millisecond
@@ -137,24 +137,24 @@
 		res := h.attempt(ctx, x, p)
 		h.release(p, res.connected)
 		h.o.Crashes.Finish(x.fingerprint, x.judgement)
-		x.explain.attempt(p, res, x.attempts)
+		x.explain.addAttempt(p, res, x.attempts)
 		if x.ended {
-			return nil // the last event was passed on: what follows it doesn't matter
+			return nil // the stream is complete, whatever happened after its last event
 		}
 		d := retry.Decide(retry.Attempt{
 			Break: res.point, Idempotent: x.r.Idempotent,
 			Relayed: x.headSent || x.r.Resume > 0, Resumable: x.r.Stream,
-		}, h.more(ctx, x, res))
+		}, h.mayRetry(ctx, x, res))
 		if d.Action == retry.Finish {
 			return nil
 		}
 		x.mayHaveRun = x.mayHaveRun || d.Outcome == failure.Unknown
 		if d.Action == retry.GiveUp {
-			last := *res.err // a link's error is shared by its calls
+			last := *res.err // copied, since the calls on a link share its error
 			last.Outcome = d.Outcome
 			return x.finalFailure(ctx, &last)
 		}
-		h.avoid(x, p, res)
+		h.avoidFailed(x, p, res)
 		h.o.Metrics.Add("retries", 1)
 		select {
 		case <-time.After(pause.NextBackOff()):
@@ -163,8 +163,8 @@
 	}
 }
 
-// finalFailure returns what the caller is told. A request of which any attempt
-// may have run is not "not run", however the last attempt ended.
+// finalFailure returns the failure for the caller. Once any attempt may have run, the outcome
+// is not "not run", however the last attempt ended.
 func (x *execution) finalFailure(ctx context.Context, f *failure.Error) *failure.Error {
 	if x.mayHaveRun {
 		f.Outcome = failure.Unknown
@@ -175,9 +175,9 @@
 	return f
 }
 
-// more reports whether another attempt is allowed. A forward that was refused
-// costs no token of the budget: the other host may just be draining.
-func (h *Host) more(ctx context.Context, x *execution, res result) bool {
+// mayRetry reports whether another attempt is allowed. After a failed attempt it charges the
+// next one to the retry budget.
+func (h *Host) mayRetry(ctx context.Context, x *execution, res result) bool {
 	if ctx.Err() != nil || x.attempts >= x.view.Record.Policy.MaxAttempts {
 		return false
 	}
@@ -185,7 +185,7 @@
 		return true
 	}
 	if res.err != nil && (res.err.Code == failure.Quarantined || res.err.Code == failure.Suspected) {
-		return false // another failure domain refused it, for what holds everywhere
+		return false // another failure domain refused it for a reason that holds in all of them
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -196,10 +196,10 @@
 	return true
 }
 
-// avoid keeps the next attempt away from what failed. A host of another
-// failure domain that was not reached is left out by itself; one that refused
-// takes its failure domain with it for this request.
-func (h *Host) avoid(x *execution, p *placement.Place, res result) {
+// avoidFailed excludes from the next attempts what failed: a backend server, or the failure
+// domain whose entry host refused the request. An entry host that could not be reached is
+// excluded by the placement (see placement.State.Release), not here.
+func (h *Host) avoidFailed(x *execution, p *placement.Place, res result) {
 	if p.Server != nil {
 		x.avoid[p.ServerID] = true
 		return
@@ -209,16 +209,16 @@
 	}
 }
 
-// errStalled ends an attempt whose other end sends nothing.
-var errStalled = failure.New(failure.BackendLost, failure.Unknown, "the other end sent nothing for too long")
+// errStalled is the cause that ends an attempt after StallTimeout without data.
+var errStalled = failure.New(failure.BackendLost, failure.Unknown, "no data received within the stall timeout")
 
-// callerGone reports whether an attempt ended because its caller left, which
-// says nothing about the other end.
-func callerGone(ctx context.Context) bool {
+// callerCanceled reports whether an attempt ended because its caller canceled, which is no
+// evidence against the server or entry host.
+func callerCanceled(ctx context.Context) bool {
 	return context.Cause(ctx) == context.Canceled
 }
 
-// attempt makes one attempt at the place.
+// attempt makes one attempt at a place.
 func (h *Host) attempt(ctx context.Context, x *execution, p *placement.Place) result {
 	kind, name := trace.SpanKindClient, "attempt"
 	if p.Server == nil {
@@ -237,7 +237,7 @@
 	if p.Server != nil {
 		served := h.breakOf(p)
 		res = h.attemptLocal(ctx, stall, x, p)
-		h.noteSurvival(ctx, x, served, res)
+		h.reportToCrashWatch(ctx, x, served, res)
 	} else {
 		res = h.attemptForward(ctx, stall, x, p)
 	}
@@ -247,8 +247,8 @@
 	return res
 }
 
-// head passes the answer's head on, once.
-func (x *execution) head(hd Head) error {
+// sendHead sends the answer's head to the sink, once.
+func (x *execution) sendHead(hd Head) error {
 	if x.headSent {
 		return nil
 	}
@@ -256,19 +256,20 @@
 	return x.sink.Head(hd)
 }
 
-// hopHeaders are not passed on between callers and backend servers.
-var hopHeaders = []string{
+// droppedHeaders are not passed on between callers and backend servers: hop-by-hop headers,
+// Content-Length and the caller's credentials.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Authorization", "Cookie",
 }
 
-// passable returns the headers that go on to the next hop.
-func passable(in http.Header) http.Header {
+// forwardableHeaders returns a copy of the headers without droppedHeaders.
+func forwardableHeaders(in http.Header) http.Header {
 	out := in.Clone()
 	if out == nil {
 		out = http.Header{}
 	}
-	for _, n := range hopHeaders {
+	for _, n := range droppedHeaders {
 		out.Del(n)
 	}
 	return out
--- a/internal/app/entry/explain.go
+++ b/internal/app/entry/explain.go
@@ -11,8 +11,7 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Explanation tells why a request went where it went. It holds no prompt text
-// and no keys.
+// Explanation records how a request was routed and why. It contains no prompt text and no keys.
 type Explanation struct {
 	mu        sync.Mutex
 	RequestID string            `json:"request_id"`
@@ -30,13 +29,13 @@
 	clock     func() time.Time
 }
 
-// ExplainDecision is one choice.
+// ExplainDecision is one routing decision with the candidates.
 type ExplainDecision struct {
 	Chosen     string               `json:"chosen"`
 	Considered []routing.Considered `json:"considered"`
 }
 
-// ExplainAttempt is one attempt.
+// ExplainAttempt is one attempt at a backend server or another entry host.
 type ExplainAttempt struct {
 	Number  int    `json:"number"`
 	To      string `json:"to"`
@@ -46,36 +45,36 @@
 	Connect bool   `json:"connected"`
 }
 
-// explainer remembers the last requests.
-type explainer struct {
-	mu   sync.Mutex
-	max  int
-	byID map[string]*Explanation
-	ring []string
+// explanationStore holds the explanations of the last max requests.
+type explanationStore struct {
+	mu    sync.Mutex
+	max   int
+	byID  map[string]*Explanation
+	order []string
 }
 
-func newExplainer(limit int) *explainer {
-	return &explainer{max: max(limit, 1), byID: map[string]*Explanation{}}
+func newExplanationStore(limit int) *explanationStore {
+	return &explanationStore{max: max(limit, 1), byID: map[string]*Explanation{}}
 }
 
-func (e *explainer) start(r *Request, o Options) *Explanation {
+func (e *explanationStore) start(r *Request, o Options) *Explanation {
 	x := &Explanation{
 		RequestID: r.ID, Host: o.ID, Team: r.Team, Target: r.Target, Time: o.Clock.Now().UTC(), Path: r.Path, clock: o.Clock.Now,
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.byID[r.ID]; !ok {
-		e.ring = append(e.ring, r.ID)
+		e.order = append(e.order, r.ID)
 	}
 	e.byID[r.ID] = x
-	for len(e.ring) > e.max {
-		delete(e.byID, e.ring[0])
-		e.ring = e.ring[1:]
+	for len(e.order) > e.max {
+		delete(e.byID, e.order[0])
+		e.order = e.order[1:]
 	}
 	return x
 }
 
-// Explain returns, as JSON, what is remembered of a request.
+// Explain returns the explanation of a request as JSON, and whether there is one.
 func (h *Host) Explain(id string) ([]byte, bool) {
 	h.explained.mu.Lock()
 	x, ok := h.explained.byID[id]
@@ -89,19 +88,19 @@
 	return data, err == nil
 }
 
-// maxDecisions bounds the decisions remembered of one request.
-const maxDecisions = 16
+// maxExplainedDecisions bounds the decisions recorded for one request.
+const maxExplainedDecisions = 16
 
-func (x *Explanation) decision(d routing.Decision) {
+func (x *Explanation) addDecision(d routing.Decision) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if len(x.Decisions) >= maxDecisions {
+	if len(x.Decisions) >= maxExplainedDecisions {
 		return
 	}
 	x.Decisions = append(x.Decisions, ExplainDecision{Chosen: d.Server + d.Domain, Considered: d.Considered})
 }
 
-func (x *Explanation) attempt(p *placement.Place, res result, number int) {
+func (x *Explanation) addAttempt(p *placement.Place, res result, number int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	a := ExplainAttempt{Number: number, To: p.ServerID, Region: p.Region, Connect: res.connected, MS: x.clock().Sub(p.Started).Milliseconds()}
@@ -112,7 +111,7 @@
 	x.Attempts = append(x.Attempts, a)
 }
 
-func (x *Explanation) ledger(step string) {
+func (x *Explanation) addLedgerStep(step string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.Ledger = append(x.Ledger, step)
--- a/internal/app/entry/forward.go
+++ b/internal/app/entry/forward.go
@@ -19,12 +19,12 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// attemptForward hands the request to an entry host of another failure domain.
-// The residency rules are asked once more with the configuration in force now:
-// not a byte leaves for a region that they do not permit.
+// attemptForward forwards the request to an entry host of another failure domain. It checks the
+// residency rules again with the configuration in force now, so that nothing is sent to a
+// region that they no longer permit.
 func (h *Host) attemptForward(ctx context.Context, stall *time.Timer, x *execution, p *placement.Place) result {
 	v := h.config.Load()
-	if !residency.Allowed(v.Record, x.r.query(), p.Region) {
+	if !residency.Allowed(v.Record, x.r.residencyQuery(), p.Region) {
 		return result{
 			point: retry.BeforeSend, connected: true,
 			err: failure.New(failure.Residency, failure.NotRun, "the residency rules do not allow region %s any more", p.Region),
@@ -50,8 +50,8 @@
 	Recv() (*pb.ForwardFrame, error)
 }
 
-// readForward passes on the frames of a forwarded request's answer. Only an
-// end frame that says so makes the answer complete.
+// readForward relays the frames of a forwarded request's answer. The answer is complete only
+// with an end frame that says so.
 func (h *Host) readForward(ctx context.Context, x *execution, p *placement.Place, stream frameReader, stall *time.Timer) result {
 	var hd Head
 	var headed bool
@@ -64,7 +64,7 @@
 				point = retry.MidAnswer
 			}
 			return result{
-				point: point, connected: callerGone(ctx),
+				point: point, connected: callerCanceled(ctx),
 				err: failure.New(failure.PeerUnreachable, failure.Unknown, "the link to %s broke off: %s", p.ServerID, err),
 			}
 		}
@@ -77,10 +77,10 @@
 				body = append(body, f.Chunk...)
 				continue
 			}
-			if err := x.pass(hd, f.Chunk); err != nil {
+			if err := x.sendData(hd, f.Chunk); err != nil {
 				return sinkFailed(err)
 			}
-			x.token(h)
+			x.countToken(h)
 		case *pb.ForwardFrame_End:
 			return h.endForward(x, hd, headed, body, f.End)
 		}
@@ -91,10 +91,10 @@
 	return Head{Status: int(m.Status), Header: forward.ReadHeaders(m.Headers), Region: region, Server: m.Server}
 }
 
-// pass hands a piece of the answer on. A stream has ended with its last event,
-// whatever the link does afterwards.
-func (x *execution) pass(hd Head, data []byte) error {
-	if err := x.head(hd); err != nil {
+// sendData sends a piece of the answer to the sink, after the head. A stream is complete with
+// its last event, even if the link breaks afterwards.
+func (x *execution) sendData(hd Head, data []byte) error {
+	if err := x.sendHead(hd); err != nil {
 		return err
 	}
 	if err := x.sink.Data(data); err != nil {
@@ -107,7 +107,7 @@
 func (h *Host) endForward(x *execution, hd Head, headed bool, body []byte, end *pb.ForwardEnd) result {
 	if end.Complete && headed {
 		if !x.r.Stream {
-			if err := x.pass(hd, body); err != nil {
+			if err := x.sendData(hd, body); err != nil {
 				return sinkFailed(err)
 			}
 		}
@@ -136,11 +136,11 @@
 	if !r.Deadline.IsZero() {
 		f.DeadlineMs = max(1, r.Deadline.Sub(h.o.Clock.Now()).Milliseconds())
 	}
-	f.Headers = forward.Headers(passable(r.Header))
+	f.Headers = forward.Headers(forwardableHeaders(r.Header))
 	return f
 }
 
-// streamSink sends an answer back over the link.
+// streamSink is a Sink that sends the answer back over the link of a forwarded request.
 type streamSink struct {
 	s port.IncomingStream
 }
@@ -151,11 +151,11 @@
 	return s.s.Send(&pb.ForwardFrame{Frame: &pb.ForwardFrame_Head{Head: m}})
 }
 
-// Data implements Sink. A large answer travels in several frames.
+// Data implements Sink. It splits a large answer into several frames.
 func (s *streamSink) Data(data []byte) error {
-	const piece = 256 << 10
+	const frameBytes = 256 << 10
 	for {
-		n := min(len(data), piece)
+		n := min(len(data), frameBytes)
 		if err := s.s.Send(&pb.ForwardFrame{Frame: &pb.ForwardFrame_Chunk{Chunk: data[:n]}}); err != nil {
 			return err
 		}
@@ -165,20 +165,20 @@
 	}
 }
 
-// HandleForward takes a request that another entry host sent here.
+// HandleForward executes a request that another entry host forwarded.
 func (h *Host) HandleForward(ctx context.Context, req *pb.Request, s port.IncomingStream) {
-	h.heardStamp(req.From, "", req.Stamp, req.MaxSchema)
+	h.recordStamp(req.From, "", req.Stamp, req.MaxSchema)
 	f := req.GetForward()
 	ctx = port.WithTraceparent(ctx, req.Traceparent)
 	ctx, span := h.o.Tracer.Start(ctx, "receive", trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
 		attribute.String("sesame.request_id", f.RequestId), attribute.String("sesame.from", req.From)))
 	defer span.End()
-	fail := h.receive(ctx, f, s)
-	_ = s.Send(forward.End(fail)) // the other end may be gone
+	fail := h.executeForward(ctx, f, s)
+	_ = s.Send(forward.End(fail)) // the sending entry host may have disconnected
 }
 
-// checkPath refuses a request that was forwarded before: the path of a forward
-// names the host where the request entered, and no other.
+// checkPath refuses a request that was already forwarded: the path of a forward must consist of
+// the one host where the request entered, and not be this host.
 func (h *Host) checkPath(path []string) *failure.Error {
 	if len(path) == 1 && path[0] != h.o.ID {
 		return nil
@@ -186,7 +186,7 @@
 	return failure.New(failure.Circulating, failure.NotRun, "the request was forwarded along %v before", path)
 }
 
-func (h *Host) receive(ctx context.Context, f *pb.Forward, s port.IncomingStream) *failure.Error {
+func (h *Host) executeForward(ctx context.Context, f *pb.Forward, s port.IncomingStream) *failure.Error {
 	if f := h.checkPath(f.Path); f != nil {
 		return f
 	}
--- a/internal/app/entry/gossip.go
+++ b/internal/app/entry/gossip.go
@@ -10,15 +10,15 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// sendUpdates sends the announcements received here to the hosts of the
-// failure domain, with the summaries received from other failure domains.
+// sendUpdates sends the announcements received here to the live hosts of the failure domain,
+// with the summaries received from other failure domains.
 func (h *Host) sendUpdates(ctx context.Context) {
 	v := h.config.Load()
 	if v == nil {
 		return
 	}
 	up := h.domainUpdate()
-	if len(up.Servers) == 0 && len(up.Summaries) == 0 && !up.Draining && up.EngineLoad+up.ServiceLoad < minLoad {
+	if len(up.Servers) == 0 && len(up.Summaries) == 0 && !up.Draining && up.EngineLoad+up.ServiceLoad < minSentLoad {
 		return
 	}
 	h.mu.Lock()
@@ -36,8 +36,8 @@
 	}
 }
 
-// minLoad is the load below which it is not worth a message.
-const minLoad = 0.01
+// minSentLoad is the load below which an update that contains nothing else is not sent.
+const minSentLoad = 0.01
 
 func (h *Host) domainUpdate() *pb.DomainUpdate {
 	now := h.o.Clock.Now()
@@ -46,50 +46,51 @@
 	defer h.mu.Unlock()
 	up.EngineLoad = float32(h.place.Table.OwnLoad(backend.KindEngine, now))
 	up.ServiceLoad = float32(h.place.Table.OwnLoad(backend.KindService, now))
-	for id, sp := range h.sponsored {
+	for id, sp := range h.announcing {
 		s := h.place.Table.Get(id)
 		if s == nil || now.Sub(sp.at) > h.o.Lease {
-			delete(h.sponsored, id)
+			delete(h.announcing, id)
 			continue
 		}
-		if id := (announcementID{s.State.Incarnation, s.State.Sequence}); sp.passedOn != id {
-			sp.passedOn = id
-			st := aged(s.State, now.Sub(sp.at))
-			st.Prefixes = sp.newPrefixes(s.State.Prefixes)
+		if id := (announcementID{s.State.Incarnation, s.State.Sequence}); sp.lastSent != id {
+			sp.lastSent = id
+			st := withAge(s.State, now.Sub(sp.at))
+			st.Prefixes = sp.unsentPrefixes(s.State.Prefixes)
 			up.Servers = append(up.Servers, st)
 		}
 	}
 	for _, r := range h.place.Remotes() {
-		if r.Direct && h.passedOn[r.Summary.FailureDomain] != r.Summary.Sequence {
-			h.passedOn[r.Summary.FailureDomain] = r.Summary.Sequence
-			up.Summaries = append(up.Summaries, agedSummary(r.Summary, now.Sub(r.At)))
+		if r.Direct && h.relayedSummaries[r.Summary.FailureDomain] != r.Summary.Sequence {
+			h.relayedSummaries[r.Summary.FailureDomain] = r.Summary.Sequence
+			up.Summaries = append(up.Summaries, summaryWithAge(r.Summary, now.Sub(r.At)))
 		}
 	}
 	return up
 }
 
-// sponsored is a backend server that announces itself here.
-type sponsored struct {
-	at       time.Time
-	passedOn announcementID
-	prefixes map[uint64]bool // passed on since the last time they were all
-	count    int             // announcements passed on
+// announcingServer is a backend server that announces itself to this host.
+type announcingServer struct {
+	at           time.Time
+	lastSent     announcementID
+	sentPrefixes map[uint64]bool // sent since the last update with all prefixes
+	updatesSent  int             // announcements sent to the other hosts
 }
 
-// allPrefixesEvery is after how many announcements all prefixes are passed on
-// again, for hosts that have started meanwhile.
+// allPrefixesEvery is the number of announcements after which all prefixes are sent again, for
+// hosts that have started in between.
 const allPrefixesEvery = 60
 
-// newPrefixes returns the prefixes that were not passed on lately.
-func (s *sponsored) newPrefixes(all []uint64) []uint64 {
-	if s.count%allPrefixesEvery == 0 {
-		s.prefixes = map[uint64]bool{}
+// unsentPrefixes returns the prefixes that were not sent since the last update with all of
+// them.
+func (s *announcingServer) unsentPrefixes(all []uint64) []uint64 {
+	if s.updatesSent%allPrefixesEvery == 0 {
+		s.sentPrefixes = map[uint64]bool{}
 	}
-	s.count++
+	s.updatesSent++
 	var out []uint64
 	for _, p := range all {
-		if !s.prefixes[p] {
-			s.prefixes[p] = true
+		if !s.sentPrefixes[p] {
+			s.sentPrefixes[p] = true
 			out = append(out, p)
 		}
 	}
@@ -99,8 +100,8 @@
 // announcementID identifies one announcement of a backend server.
 type announcementID struct{ incarnation, sequence uint64 }
 
-// aged returns a copy of the state with its age, without its prefixes.
-func aged(st *pb.BackendState, age time.Duration) *pb.BackendState {
+// withAge returns a copy of the state with its age set and without its prefixes.
+func withAge(st *pb.BackendState, age time.Duration) *pb.BackendState {
 	return &pb.BackendState{
 		Id: st.Id, Address: st.Address, Kind: st.Kind, Models: st.Models, Adapters: st.Adapters, Slots: st.Slots,
 		Running: st.Running, Queued: st.Queued, QueuedTokens: st.QueuedTokens, Incarnation: st.Incarnation,
@@ -109,15 +110,16 @@
 	}
 }
 
-func agedSummary(s *pb.Summary, age time.Duration) *pb.Summary {
+func summaryWithAge(s *pb.Summary, age time.Duration) *pb.Summary {
 	return &pb.Summary{
 		FailureDomain: s.FailureDomain, Region: s.Region, Sequence: s.Sequence,
 		Models: s.Models, Hosts: s.Hosts, AgeMs: uint64(max(0, age.Milliseconds())),
 	}
 }
 
-// takeUpdate merges what a neighbour sponsors.
-func (h *Host) takeUpdate(from string, up *pb.DomainUpdate) {
+// mergeUpdate merges another host's update: the servers that announce themselves to it, its
+// load and the summaries that it received.
+func (h *Host) mergeUpdate(from string, up *pb.DomainUpdate) {
 	h.mu.Lock()
 	now := h.o.Clock.Now()
 	for _, st := range up.Servers {
@@ -132,32 +134,35 @@
 		h.members.Acked(from, m.Incarnation, up.Draining, now)
 	}
 	h.mu.Unlock()
-	h.poke(h.wake)
+	h.signal(h.dispatchNow)
 }
 
-// Announce takes a backend server's announcement. Leaving is passed on at once.
+// Announce merges a backend server's announcement, and returns the URLs of the entry hosts to
+// which the server may announce itself. A new or restarted server, and one that starts or stops
+// leaving, is sent to the other hosts without waiting for the next update.
 func (h *Host) Announce(st *pb.BackendState) (announceTo []string) {
 	now := h.o.Clock.Now()
 	h.mu.Lock()
 	old := h.place.Table.Get(st.Id)
-	fresh := old == nil || old.State.Leaving != st.Leaving || old.State.Incarnation != st.Incarnation
+	changed := old == nil || old.State.Leaving != st.Leaving || old.State.Incarnation != st.Incarnation
 	if h.place.Table.Merge(st, now) {
-		sp := h.sponsored[st.Id]
+		sp := h.announcing[st.Id]
 		if sp == nil {
-			sp = &sponsored{}
-			h.sponsored[st.Id] = sp
+			sp = &announcingServer{}
+			h.announcing[st.Id] = sp
 		}
 		sp.at = now
 	}
 	h.mu.Unlock()
-	if fresh {
-		h.poke(h.sendNow)
+	if changed {
+		h.signal(h.sendNow)
 	}
-	h.poke(h.wake)
-	return h.sponsorURLs(st.Id)
+	h.signal(h.dispatchNow)
+	return h.announceURLs(st.Id)
 }
 
-// CacheEvents takes a backend server's cache events.
+// CacheEvents applies a backend server's cache events. gap reports that earlier events are
+// missing, known that the server is known here.
 func (h *Host) CacheEvents(id string, first uint64, added, evicted []uint64) (gap, known bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,25 +177,25 @@
 	return gap, true
 }
 
-// summaryFanout is the number of hosts of each failure domain that get a
-// summary; they pass it on inside. domainsPerTick is how many other failure
-// domains a summary may go to in each interval: with more, summaries come less
-// often, so that their cost for a host stays bounded.
+// summaryFanout is the number of hosts of each failure domain that receive a summary and pass
+// it on within the failure domain. domainsPerTick is the number of other failure domains served
+// in one interval: with more of them, each receives summaries less often, so that the cost for
+// a host stays bounded.
 const (
 	summaryFanout  = 1
 	domainsPerTick = 10
 )
 
-// sendSummaries tells the other failure domains what this one offers. The live
-// hosts share the work: each speaks to every n-th of the other failure domains.
+// sendSummaries sends a summary of this failure domain's capacity to the other failure domains.
+// The live hosts share the work: each sends to every n-th failure domain, n being their number.
 func (h *Host) sendSummaries(ctx context.Context) {
 	v := h.config.Load()
 	if v == nil {
 		return
 	}
 	domains := h.otherDomains(v)
-	h.summaries++
-	if every := 1 + len(domains)/domainsPerTick; h.summaries%every != 0 {
+	h.summaryTicks++
+	if every := 1 + len(domains)/domainsPerTick; h.summaryTicks%every != 0 {
 		return
 	}
 	rank, live := h.rank(v)
@@ -251,7 +256,7 @@
 	h.place.ObserveLatency(domain, oneWay)
 }
 
-// summarise adds up this failure domain's servers for each model and service.
+// summarise adds up the capacity of this failure domain's servers for each model and service.
 func (h *Host) summarise(v *view) *pb.Summary {
 	var hosts []string
 	for _, e := range h.liveHosts(v, h.o.FailureDomain) {
@@ -262,13 +267,13 @@
 	return h.place.Summarise(hosts, h.o.Clock.Now())
 }
 
-// takeSummaries merges summaries of other failure domains.
-func (h *Host) takeSummaries(up *pb.SummaryUpdate) {
+// mergeSummaries merges the summaries that other failure domains sent to this host.
+func (h *Host) mergeSummaries(up *pb.SummaryUpdate) {
 	h.mu.Lock()
 	now := h.o.Clock.Now()
 	for _, s := range up.Summaries {
 		h.place.MergeSummary(s, now, true)
 	}
 	h.mu.Unlock()
-	h.poke(h.wake)
+	h.signal(h.dispatchNow)
 }
--- a/internal/app/entry/host.go
+++ b/internal/app/entry/host.go
@@ -1,7 +1,6 @@
-// Package entry runs an entry host: it takes callers' requests, routes them to
-// backend servers of its failure domain or forwards them once to an entry host
-// of another, keeps part of the at-most-once ledger, and shares what it knows
-// with the other hosts.
+// Package entry implements the entry host: it accepts callers' requests, routes them to backend
+// servers of its failure domain or forwards them at most once to an entry host of another,
+// holds replicas of the at-most-once ledger, and exchanges state with the other hosts.
 package entry
 
 import (
@@ -51,11 +50,11 @@
 	MaxBody      int64
 	MaxExplained int
 
-	// Crashes recognises requests that crash servers; nil for one that asks no server whether
-	// it has ended.
+	// Crashes detects requests that crash servers. If nil, New creates one that asks no server
+	// whether its process has ended.
 	Crashes   *crashwatch.Watch
 	Peers     port.Peers
-	Drop      func(addr string) // ends the link to a dead host; may be nil
+	Drop      func(addr string) // closes the link to a dead host; may be nil
 	Backends  port.Backends
 	Directory port.Directory // may be nil
 	Clock     port.Clock
@@ -64,47 +63,47 @@
 	Tracer    trace.Tracer
 }
 
-// Times that follow from the intervals.
+// Factors, intervals and limits that are not settings.
 const (
-	suspectFactor  = 4 // probe intervals from suspicion to death
-	slowStart      = 10 * time.Second
-	assumedLag     = 500 * time.Millisecond // of backend servers' load figures
-	maxWaiting     = 20_000
-	housekeeping   = 250 * time.Millisecond
-	drainPoll      = 20 * time.Millisecond
-	reportInterval = 5 * time.Second
-	callTimeout    = 2 * time.Second
+	suspectFactor        = 4 // probe intervals from suspicion to death
+	slowStart            = 10 * time.Second
+	assumedLag           = 500 * time.Millisecond // of backend servers' load figures
+	maxWaiting           = 20_000
+	housekeepingInterval = 250 * time.Millisecond
+	drainPollInterval    = 20 * time.Millisecond
+	reportInterval       = 5 * time.Second
+	callTimeout          = 2 * time.Second
 )
 
 // Host is one entry host.
 type Host struct {
-	o           Options
-	config      atomic.Pointer[view]
-	previous    atomic.Pointer[configstate.Installed] // in force before config
-	draining    atomic.Bool
-	unsure      atomic.Bool  // thawed: takes no work until a neighbour answered
-	asked       atomic.Bool  // the neighbours were asked for their configuration
-	probedAt    atomic.Int64 // Unix time in ns of the last probe, 0 before the first
-	incarnation uint64
-	explained   *explainer
-	ledger      *ledgerHost
-	fetching    sync.Mutex
-	wg          sync.WaitGroup
-	inflight    sync.Map // request ID -> start time
+	o            Options
+	config       atomic.Pointer[view]
+	previous     atomic.Pointer[configstate.Installed] // in force before config
+	draining     atomic.Bool
+	awaitingPeer atomic.Bool  // set after a freeze until another host answered; not ready meanwhile
+	peersQueried atomic.Bool  // all seeds and control hosts were asked for their configuration
+	probedAt     atomic.Int64 // Unix time in ns of the last probe, 0 before the first
+	incarnation  uint64
+	explained    *explanationStore
+	ledger       *ledgerHost
+	fetching     sync.Mutex
+	wg           sync.WaitGroup
+	inflight     sync.Map // request ID -> start time
 
-	mu        sync.Mutex
-	place     *placement.State
-	members   *membership.List
-	sponsored map[string]*sponsored // backend servers that announce here
-	passedOn  map[string]uint64     // newest summary passed on, by failure domain
-	summaries int                   // ticks of the summaries' interval
-	waiting   map[*admission.Waiter]*ticket
-	budget    *retry.Budget
-	versions  map[string]hostVersion // configuration in force on neighbours
-	wake      chan struct{}
-	sendNow   chan struct{}
-	crashes   *crashNews
-	access    *access.Gate
+	mu               sync.Mutex
+	place            *placement.State
+	members          *membership.List
+	announcing       map[string]*announcingServer // backend servers that announce themselves to this host, by ID
+	relayedSummaries map[string]uint64            // sequence of the newest summary sent on, by failure domain
+	summaryTicks     int                          // intervals of sendSummaries that have begun
+	waiting          map[*admission.Waiter]*ticket
+	budget           *retry.Budget
+	versions         map[string]hostVersion // configuration in force on other hosts, by ID
+	dispatchNow      chan struct{}
+	sendNow          chan struct{}
+	crashes          *crashSync
+	access           *access.Gate
 }
 
 type hostVersion struct {
@@ -113,37 +112,37 @@
 	at     time.Time
 }
 
-// view is a configuration in force with what is derived from it.
+// view is a configuration in force with values derived from it.
 type view struct {
 	*configstate.Installed
 	hosts map[string]configstate.Host
 	peers []configstate.Host // other hosts of the failure domain
 }
 
-// New returns a host that has no configuration yet.
+// New returns a Host without a configuration.
 func New(o Options) *Host {
 	now := o.Clock.Now()
 	h := &Host{
 		o:           o,
 		incarnation: uint64(now.UnixMilli()),
-		explained:   newExplainer(o.MaxExplained),
+		explained:   newExplanationStore(o.MaxExplained),
 		place: placement.New(placement.Options{
 			Region: o.Region, FailureDomain: o.FailureDomain, MaxWaiting: maxWaiting, Random: rand.Float64,
 			Limits: backend.Limits{Lease: o.Lease, SlowStart: slowStart, Lag: assumedLag},
 		}),
-		sponsored: map[string]*sponsored{},
-		passedOn:  map[string]uint64{},
-		waiting:   map[*admission.Waiter]*ticket{},
-		budget:    retry.NewBudget(0.1, now),
-		versions:  map[string]hostVersion{},
-		wake:      make(chan struct{}, 1),
-		sendNow:   make(chan struct{}, 1),
-		crashes:   newCrashNews(),
+		announcing:       map[string]*announcingServer{},
+		relayedSummaries: map[string]uint64{},
+		waiting:          map[*admission.Waiter]*ticket{},
+		budget:           retry.NewBudget(0.1, now),
+		versions:         map[string]hostVersion{},
+		dispatchNow:      make(chan struct{}, 1),
+		sendNow:          make(chan struct{}, 1),
+		crashes:          newCrashSync(),
 	}
 	if h.o.Crashes == nil {
 		h.o.Crashes = crashwatch.New(crashwatch.Options{AnnounceEvery: o.Lease, Clock: o.Clock, Log: o.Log, Metrics: o.Metrics})
 	}
-	h.o.Crashes.OnChange(func() { h.poke(h.crashes.wake) })
+	h.o.Crashes.OnChange(func() { h.signal(h.crashes.wake) })
 	h.members = membership.New(membership.Options{
 		ID: o.ID, SuspectTimeout: suspectFactor * o.Probe, Seed: rand.Int64(),
 	}, h.incarnation)
@@ -155,20 +154,20 @@
 	return h
 }
 
-// Run shares knowledge with the other hosts until ctx ends.
+// Run exchanges state with the other hosts and dispatches waiting requests until ctx ends.
 func (h *Host) Run(ctx context.Context) error {
-	h.every(ctx, h.o.Probe, h.probe)
-	h.every(ctx, h.o.Update, h.sendUpdates)
-	h.every(ctx, h.o.Summary, h.sendSummaries)
-	h.every(ctx, reportInterval, h.report)
-	h.every(ctx, housekeeping, h.housekeep)
-	h.every(ctx, h.ledger.interval(), h.ledger.tick)
-	h.every(ctx, time.Second, h.seek)
-	h.every(ctx, h.o.Update, h.tellCrashes)
+	h.runEvery(ctx, h.o.Probe, h.probe)
+	h.runEvery(ctx, h.o.Update, h.sendUpdates)
+	h.runEvery(ctx, h.o.Summary, h.sendSummaries)
+	h.runEvery(ctx, reportInterval, h.reportVersions)
+	h.runEvery(ctx, housekeepingInterval, h.housekeep)
+	h.runEvery(ctx, h.ledger.interval(), h.ledger.tick)
+	h.runEvery(ctx, time.Second, h.fetchInitialConfig)
+	h.runEvery(ctx, h.o.Update, h.syncCrashRecords)
 	h.wg.Add(2)
 	go func() {
 		defer h.wg.Done()
-		_ = h.access.Run(ctx) // ends with ctx only
+		_ = h.access.Run(ctx) // returns nil when ctx ends
 	}()
 	go func() {
 		defer h.wg.Done()
@@ -178,22 +177,22 @@
 				return
 			case <-h.sendNow:
 				h.sendUpdates(ctx)
-			case <-h.wake:
+			case <-h.dispatchNow:
 				h.dispatch()
 			case <-h.crashes.wake:
-				h.tellCrashes(ctx)
+				h.syncCrashRecords(ctx)
 			}
 		}
 	}()
-	h.seek(ctx)
+	h.fetchInitialConfig(ctx)
 	<-ctx.Done()
 	h.wg.Wait()
 	return nil
 }
 
-// every calls f at the interval until ctx ends, starting at a random part of it
-// so that hosts started together do not send together.
-func (h *Host) every(ctx context.Context, interval time.Duration, f func(context.Context)) {
+// runEvery calls f at the interval until ctx ends. The first call comes after a random part of
+// the interval, so that hosts started together do not send together.
+func (h *Host) runEvery(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	h.wg.Add(1)
 	go func() {
 		defer h.wg.Done()
@@ -215,36 +214,37 @@
 	}()
 }
 
-// housekeep refuses what has waited too long and hands out free places.
+// housekeep applies the timeouts of members and backend servers, refuses requests that have
+// waited too long, and dispatches the others to free places.
 func (h *Host) housekeep(context.Context) {
 	now := h.o.Clock.Now()
 	h.mu.Lock()
 	h.members.Tick(now)
 	h.place.Table.Expire(now)
 	h.mu.Unlock()
-	h.watchServers()
-	h.memberEvents()
+	h.refreshCrashWatch()
+	h.handleMemberEvents()
 	h.dispatch()
 }
 
-// Ready returns nil when the host may take requests.
+// Ready returns nil if the host accepts requests, else why not.
 func (h *Host) Ready() *failure.Error {
-	h.noteFreeze()
+	h.detectFreeze()
 	switch {
 	case h.draining.Load():
 		return failure.New(failure.Draining, failure.NotRun, "entry host %s is shutting down", h.o.ID).
 			WithEntryHosts(h.otherURLs())
-	case h.config.Load() == nil || !h.asked.Load():
+	case h.config.Load() == nil || !h.peersQueried.Load():
 		return failure.New(failure.NotReady, failure.NotRun, "entry host %s has no configuration yet", h.o.ID).
 			WithRetryAfter(time.Second)
-	case h.unsure.Load():
-		return failure.New(failure.NotReady, failure.NotRun, "entry host %s was frozen and asks its neighbours first", h.o.ID).
+	case h.awaitingPeer.Load():
+		return failure.New(failure.NotReady, failure.NotRun, "entry host %s was frozen and has not reached another host since", h.o.ID).
 			WithRetryAfter(time.Second).WithEntryHosts(h.otherURLs())
 	}
 	return nil
 }
 
-// Stamp returns the configuration in force.
+// Stamp returns the stamp of the configuration in force, or an empty one.
 func (h *Host) Stamp() *pb.ConfigStamp {
 	if v := h.config.Load(); v != nil {
 		return v.Stamp
@@ -252,7 +252,8 @@
 	return &pb.ConfigStamp{}
 }
 
-// InForce returns the stamp and the bytes of the record in force.
+// InForce returns the stamp and the bytes of the record in force. The bytes are nil if there is
+// none.
 func (h *Host) InForce() (*pb.ConfigStamp, []byte) {
 	v := h.config.Load()
 	if v == nil {
@@ -269,9 +270,9 @@
 	return nil
 }
 
-// Team returns the team whose key a request bears. A key that no team holds is refused only
-// after a control host has been asked whether there is a newer configuration: it may just have
-// been added.
+// Team returns the team whose key a request was sent with. Before it refuses a key that no team
+// holds, it asks the control hosts for a newer configuration, since the key may just have been
+// added.
 func (h *Host) Team(ctx context.Context, c access.Credential) (*configstate.Team, *failure.Error) {
 	rec := h.Record()
 	if rec == nil {
@@ -289,7 +290,8 @@
 	return nil, f
 }
 
-// issuers returns the control hosts, all taken to be equally far.
+// issuers returns the control hosts in this host's order of preference, all treated as equally
+// distant.
 func (h *Host) issuers() []string {
 	out := slices.Clone(h.o.Control)
 	access.Nearest(h.o.ID, out, func(string) int { return 0 })
@@ -299,12 +301,12 @@
 // Options returns the host's options.
 func (h *Host) Options() *Options { return &h.o }
 
-// Drain takes the host out of the lists and waits until the linger time is over
-// and no request is in flight, ctx ends, or cut is closed. It returns the
-// requests that were cut.
+// Drain removes the host from the lists of entry hosts. It waits until the linger time has
+// passed and no request is in flight, ctx ends, or cut is closed, and returns the IDs of the
+// requests that were still in flight.
 func (h *Host) Drain(ctx context.Context, linger time.Duration, cut <-chan struct{}) []string {
 	h.SetDraining(true)
-	t := time.NewTicker(drainPoll)
+	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 	began := h.o.Clock.Now()
 	for {
@@ -322,10 +324,10 @@
 	}
 }
 
-// SetDraining takes the host out of the lists, or puts it back.
+// SetDraining removes the host from the lists of entry hosts, or adds it again.
 func (h *Host) SetDraining(on bool) {
 	h.draining.Store(on)
-	h.poke(h.sendNow)
+	h.signal(h.sendNow)
 }
 
 func (h *Host) inflightIDs() []string {
@@ -337,7 +339,7 @@
 	return ids
 }
 
-func (h *Host) poke(ch chan struct{}) {
+func (h *Host) signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -376,7 +378,7 @@
 	})
 }
 
-// BackendView is one backend server as metrics show it.
+// BackendView is one backend server in the metrics.
 type BackendView struct {
 	Outstanding int    `json:"outstanding"`
 	Skip        string `json:"skip,omitempty"`
--- a/internal/app/entry/hosts.go
+++ b/internal/app/entry/hosts.go
@@ -11,16 +11,16 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// sponsorURLs orders the entry hosts of the failure domain for a backend
-// server: spread by a stable hash, this host among them.
-func (h *Host) sponsorURLs(server string) []string {
+// announceURLs returns the URLs of the failure domain's live entry hosts, this one among them,
+// in a stable order that differs between backend servers, to spread their announcements.
+func (h *Host) announceURLs(server string) []string {
 	v := h.config.Load()
 	if v == nil {
 		return nil
 	}
 	hosts := h.liveHosts(v, h.o.FailureDomain)
 	sortByHash(hosts, server)
-	return urls(hosts)
+	return callerURLs(hosts)
 }
 
 func sortByHash(hosts []configstate.Host, salt string) {
@@ -28,7 +28,7 @@
 	sort.Slice(hosts, func(i, j int) bool { return rank(hosts[i]) < rank(hosts[j]) })
 }
 
-func urls(hosts []configstate.Host) []string {
+func callerURLs(hosts []configstate.Host) []string {
 	out := make([]string, 0, len(hosts))
 	for _, e := range hosts {
 		out = append(out, e.Caller)
@@ -36,7 +36,8 @@
 	return out
 }
 
-// liveHosts returns the entry hosts of a failure domain that may take work.
+// liveHosts returns the entry hosts of a failure domain that accept requests, according to the
+// membership list for this host's failure domain and to the last summary for others.
 func (h *Host) liveHosts(v *view, domain string) []configstate.Host {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -44,7 +45,7 @@
 	var out []configstate.Host
 	listed := map[string]bool{}
 	r := h.place.Remote(domain)
-	if r != nil && now.Sub(r.At) < summaryStale {
+	if r != nil && now.Sub(r.At) < summaryMaxAge {
 		for _, id := range r.Summary.Hosts {
 			listed[id] = true
 		}
@@ -71,8 +72,8 @@
 	return out
 }
 
-// EntryHosts returns the entry hosts that a caller should use, best first: the
-// own failure domain, the region, then the other regions.
+// EntryHosts returns the live entry hosts for a caller, in the order in which to try them:
+// those of this host's failure domain, of its region, then of the other regions.
 func (h *Host) EntryHosts(caller string) []configstate.Host {
 	v := h.config.Load()
 	if v == nil {
@@ -107,7 +108,7 @@
 			out = append(out, e)
 		}
 	}
-	return urls(out)
+	return callerURLs(out)
 }
 
 func (h *Host) publishDirectory(ctx context.Context, v *view) {
@@ -122,12 +123,12 @@
 	}
 	if err := h.o.Directory.Publish(ctx, h.o.Region, entries, directoryTTL); err != nil {
 		h.o.Metrics.Add("directory_failures", 1)
-		h.o.Log.V(1).Info("directory not reached", "reason", err.Error())
+		h.o.Log.V(1).Info("directory update failed", "reason", err.Error())
 	}
 }
 
-// rank returns this host's place among the live hosts of its failure domain, by
-// ID, and their number. A draining host has none: live is then 0.
+// rank returns this host's index among the live hosts of its failure domain, sorted by ID, and
+// their number. For a draining host both are 0.
 func (h *Host) rank(v *view) (rank, live int) {
 	found := false
 	for _, e := range h.liveHosts(v, h.o.FailureDomain) {
@@ -143,9 +144,9 @@
 	return rank, live
 }
 
-// isSpeaker reports whether this host reports for its failure domain to the
-// control hosts and the client directory: the live one with the lowest ID.
-func (h *Host) isSpeaker(v *view) bool {
+// isReporter reports whether this host sends the failure domain's reports to the control hosts
+// and the client directory: the live host with the lowest ID does.
+func (h *Host) isReporter(v *view) bool {
 	rank, live := h.rank(v)
 	return live > 0 && rank == 0
 }
--- a/internal/app/entry/ledgerhost.go
+++ b/internal/app/entry/ledgerhost.go
@@ -12,41 +12,42 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Times of the ledger's traffic.
+// Intervals, time limits and bounds of the ledger.
 const (
-	ledgerTick      = 250 * time.Millisecond
-	ledgerRetry     = 200 // ms between recovery messages
-	ledgerCall      = time.Second
-	ledgerOp        = 3 * time.Second // bound on one operation
-	expireEvery     = 20              // ticks
-	defaultMaxKeys  = 200_000
-	abandonedMemory = 10_000
+	ledgerTick        = 250 * time.Millisecond
+	ledgerRetryMS     = 200 // between recovery messages
+	ledgerCallTimeout = time.Second
+	ledgerOpTimeout   = 3 * time.Second // bounds one operation
+	expireEveryTicks  = 20
+	defaultMaxKeys    = 200_000
+	maxAbandoned      = 10_000
 )
 
-// ledgerHost drives this host's replica and its operations on keys.
+// ledgerHost runs this host's ledger replica and its operations on keys.
 type ledgerHost struct {
 	h        *Host
-	proposer string // unique to this life of the process
+	proposer string // unique to this run of the process
 
-	mu        sync.Mutex
-	replica   *ledger.Replica
-	ticks     int
-	abandoned map[string]bool // attempts given up before they were dispatched
-	order     []string        // of abandoned, oldest first
+	mu             sync.Mutex
+	replica        *ledger.Replica
+	ticks          int
+	abandoned      map[string]bool // claims given up before the request was dispatched, by attempt ID
+	abandonedOrder []string        // keys of abandoned, oldest first
 }
 
 func newLedgerHost(h *Host) *ledgerHost {
 	l := &ledgerHost{h: h, abandoned: map[string]bool{}}
 	l.proposer = fmt.Sprintf("%s/%x", h.o.ID, rand.Uint64())
 	l.replica = ledger.NewReplica(h.o.ID, ledger.Limits{
-		MaxKeys: defaultMaxKeys, SkewMS: h.o.Skew.Milliseconds(), RetryMS: ledgerRetry,
+		MaxKeys: defaultMaxKeys, SkewMS: h.o.Skew.Milliseconds(), RetryMS: ledgerRetryMS,
 	}, rand.Int64())
 	return l
 }
 
 func (l *ledgerHost) interval() time.Duration { return ledgerTick }
 
-// setMembers fixes the replica sets of this host's region. It needs l.mu.
+// setMembers sets the members from which the replica sets of this host's region are chosen. The
+// caller holds l.mu.
 func (l *ledgerHost) setMembers(v *view) {
 	l.replica.SetLimits(v.Record.Ledger.MaxKeys, v.Record.Ledger.MaxBytes)
 	l.replica.SetMembers(ledgerMembers(v.Record.RegionHosts(l.h.o.Region)), v.Record.Ledger.Replicas)
@@ -70,7 +71,7 @@
 	return l.replica.Active()
 }
 
-// tick sends the recovery's messages and drops keys whose retention is over.
+// tick sends recovery messages, and expires keys whose retention time has passed.
 func (l *ledgerHost) tick(ctx context.Context) {
 	v := l.h.config.Load()
 	if v == nil {
@@ -79,15 +80,15 @@
 	now := l.h.o.Clock.Now().UnixMilli()
 	l.mu.Lock()
 	out := l.replica.Tick(now)
-	if l.ticks++; l.ticks%expireEvery == 0 {
+	if l.ticks++; l.ticks%expireEveryTicks == 0 {
 		l.replica.Expire(now)
 	}
 	l.mu.Unlock()
 	l.sendRecovery(ctx, v, out)
 }
 
-// sendRecovery sends recovery messages, batched by host, and feeds the replies
-// back until nothing more is to be sent.
+// sendRecovery sends recovery messages, batched by host, and passes the replies to the replica
+// until it has no more messages to send.
 func (l *ledgerHost) sendRecovery(ctx context.Context, v *view, out []*pb.LedgerMessage) {
 	for to, batch := range byReceiver(out) {
 		l.h.wg.Add(1)
@@ -120,7 +121,7 @@
 	if !ok {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, ledgerCall)
+	ctx, cancel := context.WithTimeout(ctx, ledgerCallTimeout)
 	defer cancel()
 	req := l.h.request()
 	req.Body = &pb.Request_Ledger{Ledger: &pb.LedgerBatch{Messages: batch}}
@@ -131,7 +132,7 @@
 	return resp.GetLedger().GetMessages()
 }
 
-// handle answers other hosts' messages.
+// handle passes other hosts' messages to the replica and returns its replies.
 func (l *ledgerHost) handle(b *pb.LedgerBatch) *pb.LedgerBatch {
 	now := l.h.o.Clock.Now().UnixMilli()
 	out := &pb.LedgerBatch{}
@@ -145,27 +146,28 @@
 	return out
 }
 
-// replicas returns the replica set of a key whose home is the region.
+// replicas returns the replica set of a key whose home region is home.
 func (l *ledgerHost) replicas(v *view, home, key string) []string {
 	members := ledgerMembers(v.Record.RegionHosts(home))
 	return ledger.ReplicaSet(members, ledger.SlotOf(key), v.Record.Ledger.Replicas)
 }
 
-// do carries out an operation. It returns nil when a majority decided it;
-// op.Result tells how.
+// do runs an operation. It returns nil once a majority has decided it; op.Result is the
+// decision.
 func (l *ledgerHost) do(ctx context.Context, v *view, home string, op *ledger.Op) *failure.Error {
 	return l.drive(ctx, v, op, op.Start(l.proposer, l.replicas(v, home, op.Key)))
 }
 
-// drive sends an operation's first messages and goes on until it is decided.
+// drive sends an operation's first messages and continues until it is decided, ctx ends or
+// ledgerOpTimeout has passed.
 func (l *ledgerHost) drive(ctx context.Context, v *view, op *ledger.Op, out []*pb.LedgerMessage) *failure.Error {
-	ctx, cancel := context.WithTimeout(ctx, ledgerOp)
+	ctx, cancel := context.WithTimeout(ctx, ledgerOpTimeout)
 	defer cancel()
 	began := l.h.o.Clock.Now()
 	pause := 5 * time.Millisecond
 	for op.Result == ledger.Pending {
-		// A channel for each round: replies to an earlier one must not be
-		// counted as those of this one.
+		// Each round has its own channel, so that late replies to an earlier round are not
+		// counted in this one.
 		replies := make(chan *pb.LedgerMessage, len(out))
 		sent := len(out)
 		l.sendOp(ctx, v, out, replies)
@@ -187,19 +189,19 @@
 	return nil
 }
 
-// noQuorumRetry is when to come back after no majority was in reach.
-const noQuorumRetry = 2 * time.Second
+// noQuorumRetryAfter is the retry time after no majority was reachable.
+const noQuorumRetryAfter = 2 * time.Second
 
 func noQuorum(op *ledger.Op) *failure.Error {
 	if op.Full {
-		return failure.New(failure.LedgerFull, failure.NotRun, "the ledger of the home region is full").WithRetryAfter(noQuorumRetry)
+		return failure.New(failure.LedgerFull, failure.NotRun, "the ledger of the home region is full").WithRetryAfter(noQuorumRetryAfter)
 	}
 	return failure.New(failure.NoQuorum, failure.NotRun,
-		"no majority of the key's replicas in the home region answered").WithRetryAfter(noQuorumRetry)
+		"no majority of the key's replicas in the home region answered").WithRetryAfter(noQuorumRetryAfter)
 }
 
-// sendOp sends an operation's messages; each reply, or nil for none, arrives on
-// the channel, which has room for all.
+// sendOp sends an operation's messages. Each reply, or nil if there is none, is sent to
+// replies, which must have room for all of them.
 func (l *ledgerHost) sendOp(ctx context.Context, v *view, out []*pb.LedgerMessage, replies chan<- *pb.LedgerMessage) {
 	for _, m := range out {
 		l.h.wg.Add(1)
@@ -215,8 +217,8 @@
 	}
 }
 
-// awaitOp feeds replies to the operation until it wants to send, is decided, or
-// can no longer reach a majority with this ballot.
+// awaitOp passes replies to the operation until it has messages to send, is decided, or can no
+// longer reach a majority with this ballot.
 func (l *ledgerHost) awaitOp(ctx context.Context, op *ledger.Op, sent int, replies <-chan *pb.LedgerMessage) []*pb.LedgerMessage {
 	for range sent {
 		select {
@@ -237,11 +239,11 @@
 	return nil
 }
 
-// query reads a key without a promise and returns the newest value found.
+// query reads a key without a promise and returns the newest value found, or nil.
 func (l *ledgerHost) query(ctx context.Context, v *view, home, key string) *pb.LedgerValue {
 	members := l.replicas(v, home, key)
 	replies := make(chan *pb.LedgerMessage, len(members))
-	ctx, cancel := context.WithTimeout(ctx, ledgerCall)
+	ctx, cancel := context.WithTimeout(ctx, ledgerCallTimeout)
 	defer cancel()
 	l.sendOp(ctx, v, ledger.Queries(key, l.proposer, members), replies)
 	var best *pb.LedgerMessage
@@ -264,16 +266,16 @@
 	return best.GetValue()
 }
 
-// abandon notes an attempt that was given up before it was dispatched: its
-// claim, should one replica hold it, may be taken over by this process.
+// abandon records an attempt whose claim was given up before the request was dispatched. If a
+// replica still holds the claim, this process may take it over.
 func (l *ledgerHost) abandon(attempt string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.abandoned[attempt] = true
-	l.order = append(l.order, attempt)
-	if len(l.order) > abandonedMemory {
-		delete(l.abandoned, l.order[0])
-		l.order = l.order[1:]
+	l.abandonedOrder = append(l.abandonedOrder, attempt)
+	if len(l.abandonedOrder) > maxAbandoned {
+		delete(l.abandoned, l.abandonedOrder[0])
+		l.abandonedOrder = l.abandonedOrder[1:]
 	}
 }
 
--- a/internal/app/entry/local.go
+++ b/internal/app/entry/local.go
@@ -16,21 +16,21 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// maxAnswer bounds an answer that is not a stream, and one event of a stream.
+// Bounds of an answer that is not a stream, and of one event of a stream.
 const (
-	maxAnswer = 64 << 20
-	maxEvent  = 4 << 20
+	maxAnswerBytes = 64 << 20
+	maxEventBytes  = 4 << 20
 )
 
 // eventStream is the media type of server-sent events.
 const eventStream = "text/event-stream"
 
-// doneEvent ends a complete stream.
+// doneEvent is the start of the event that ends a complete stream.
 var doneEvent = []byte("data: [DONE]")
 
 // attemptLocal makes an attempt at a backend server.
 func (h *Host) attemptLocal(ctx context.Context, stall *time.Timer, x *execution, p *placement.Place) result {
-	header := passable(x.r.Header)
+	header := forwardableHeaders(x.r.Header)
 	if tp := port.Traceparent(ctx); tp != "" {
 		header.Set("Traceparent", tp)
 	}
@@ -45,29 +45,29 @@
 		if sent {
 			point = retry.Sent
 		}
-		return result{point: point, err: failure.As(err, failure.Unknown), connected: callerGone(ctx)}
+		return result{point: point, err: failure.As(err, failure.Unknown), connected: callerCanceled(ctx)}
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if f := refusal(x, answer); f != nil {
+	if f := refusalOf(x, answer); f != nil {
 		return result{point: retry.Refused, err: f, connected: true}
 	}
-	hd := Head{Status: answer.Status, Header: passable(answer.Header), Region: h.o.Region, Server: p.ServerID}
+	hd := Head{Status: answer.Status, Header: forwardableHeaders(answer.Header), Region: h.o.Region, Server: p.ServerID}
 	stall.Reset(h.o.StallTimeout)
 	if x.r.Stream && isStream(answer.Header) && answer.Status == http.StatusOK {
-		return h.relay(ctx, x, answer.Body, hd, stall)
+		return h.relayStream(ctx, x, answer.Body, hd, stall)
 	}
 	if x.headSent || x.r.Resume > 0 {
-		// The caller has part of a stream: nothing else can follow it.
+		// The caller has received part of a stream: only its continuation can follow.
 		f := failure.New(failure.BackendRefused, failure.NotRun, "the server answered %d instead of the rest of the stream", answer.Status)
 		return result{point: retry.Refused, err: f, connected: true}
 	}
-	return h.whole(ctx, x, answer.Body, hd, stall)
+	return h.relayWhole(ctx, x, answer.Body, hd, stall)
 }
 
-// refusal returns the failure when the server did not start the request: it
-// says so, or it is an engine (whose requests may be repeated) that is overloaded
-// or failed before the answer.
-func refusal(x *execution, a *port.BackendAnswer) *failure.Error {
+// refusalOf returns a failure if the server did not start the request, else nil: the server
+// stated so, or an engine (whose requests may be repeated) answered that it is overloaded or
+// failed.
+func refusalOf(x *execution, a *port.BackendAnswer) *failure.Error {
 	overloaded := a.Status == http.StatusTooManyRequests || a.Status >= http.StatusInternalServerError
 	if a.Refused || (!x.r.Service && overloaded) {
 		return failure.New(failure.BackendRefused, failure.NotRun, "the backend server answered %d", a.Status)
@@ -79,18 +79,18 @@
 	return strings.HasPrefix(http.Header(header).Get("Content-Type"), eventStream)
 }
 
-// whole passes on an answer that is not a stream, after it arrived whole.
-func (h *Host) whole(ctx context.Context, x *execution, body io.Reader, hd Head, stall *time.Timer) result {
-	data, err := io.ReadAll(io.LimitReader(body, maxAnswer+1))
+// relayWhole sends on an answer that is not a stream, once it has been received completely.
+func (h *Host) relayWhole(ctx context.Context, x *execution, body io.Reader, hd Head, stall *time.Timer) result {
+	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes+1))
 	if err != nil {
-		return result{point: retry.MidAnswer, connected: callerGone(ctx),
+		return result{point: retry.MidAnswer, connected: callerCanceled(ctx),
 			err: failure.New(failure.BackendLost, failure.Unknown, "the answer broke off: %s", err)}
 	}
 	stall.Stop()
-	if len(data) > maxAnswer {
-		return result{point: retry.MidAnswer, err: failure.New(failure.Truncated, failure.Unknown, "the answer is over %d bytes", maxAnswer), connected: true}
+	if len(data) > maxAnswerBytes {
+		return result{point: retry.MidAnswer, err: failure.New(failure.Truncated, failure.Unknown, "the answer is over %d bytes", maxAnswerBytes), connected: true}
 	}
-	if err := x.head(hd); err != nil {
+	if err := x.sendHead(hd); err != nil {
 		return sinkFailed(err)
 	}
 	if err := x.sink.Data(data); err != nil {
@@ -99,37 +99,37 @@
 	return result{point: retry.Answered, connected: true}
 }
 
-// sinkFailed ends a request whose caller does not take the answer.
+// sinkFailed returns the result of an attempt whose answer the caller did not accept.
 func sinkFailed(err error) result {
 	f := failure.Wrap(err, failure.Canceled, failure.Unknown)
 	return result{point: retry.MidAnswer, err: f, connected: true}
 }
 
-// relay passes a stream on event by event. A stream is complete with its last
-// event; one that breaks off before can be resumed from the events passed on.
-func (h *Host) relay(ctx context.Context, x *execution, body io.Reader, hd Head, stall *time.Timer) result {
+// relayStream sends on a stream event by event. The stream is complete with its last event; one
+// that breaks before can be resumed after the events sent.
+func (h *Host) relayStream(ctx context.Context, x *execution, body io.Reader, hd Head, stall *time.Timer) result {
 	reader := bufio.NewReaderSize(body, 4096)
 	for {
 		event, err := readEvent(reader)
 		if err != nil {
 			return result{
-				point: retry.MidAnswer, connected: callerGone(ctx),
+				point: retry.MidAnswer, connected: callerCanceled(ctx),
 				err: failure.New(failure.BackendLost, failure.Unknown, "the stream broke off after %d tokens: %s", x.relayed, err),
 			}
 		}
 		stall.Reset(h.o.StallTimeout)
-		if err := x.pass(hd, event); err != nil {
+		if err := x.sendData(hd, event); err != nil {
 			return sinkFailed(err)
 		}
 		if x.ended {
 			return result{point: retry.Answered, connected: true}
 		}
-		x.token(h)
+		x.countToken(h)
 	}
 }
 
-// token counts a token passed on and observes the time since the last.
-func (x *execution) token(h *Host) {
+// countToken counts a token sent to the caller and observes the time since the last one.
+func (x *execution) countToken(h *Host) {
 	now := h.o.Clock.Now()
 	if x.relayed == x.r.Resume {
 		h.o.Metrics.Observe("first_token", now.Sub(x.began))
@@ -140,7 +140,7 @@
 	x.relayed++
 }
 
-// readEvent reads one event with the empty line that ends it.
+// readEvent reads one event, including the empty line that ends it.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -158,8 +158,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(event) > maxEvent {
-			return nil, failure.New(failure.Truncated, failure.Unknown, "an event is over %d bytes", maxEvent)
+		if len(event) > maxEventBytes {
+			return nil, failure.New(failure.Truncated, failure.Unknown, "an event is over %d bytes", maxEventBytes)
 		}
 	}
 }
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -17,11 +17,11 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// runOnce carries out a non-idempotent request: it claims the request's key in
-// the home region's ledger, runs at most one attempt that reaches a backend
-// server, and keeps the answer for resends.
+// runOnce runs a non-idempotent request: it claims the request's key in the home region's
+// ledger, runs at most one attempt that reaches a backend server, and stores the answer for
+// repeated requests with the key.
 func (h *Host) runOnce(ctx context.Context, x *execution) *failure.Error {
-	team, _ := x.view.Record.Team(x.r.Team) // known: the residency rules were asked
+	team, _ := x.view.Record.Team(x.r.Team) // exists: the residency check found it
 	region := team.Home
 	for {
 		op := h.claimOp(x)
@@ -30,26 +30,26 @@
 		}
 		switch op.Result {
 		case ledger.Won:
-			x.explain.ledger("claim won")
+			x.explain.addLedgerStep("claim won")
 			return h.runClaimed(ctx, x, op)
 		case ledger.Taken:
-			x.explain.ledger("key belongs to attempt " + op.Value.Attempt)
+			x.explain.addLedgerStep("key belongs to attempt " + op.Value.Attempt)
 			if again, f := h.attach(ctx, x, region, op); !again {
 				return f
 			}
 		case ledger.Reused:
 			return failure.New(failure.KeyReused, failure.NotRun, "the key was used for a request with another method, path or body")
 		default:
-			x.explain.ledger("key is older than the ledger's memory")
+			x.explain.addLedgerStep("key may be older than the ledger's records")
 			return failure.New(failure.LedgerForgot, failure.Unknown,
-				"the key may be older than the ledger's present memory; state when it was issued in Sesame-Key-Issued-Ms, or use a new key if the work was surely not done")
+				"the key may be older than the ledger's records; state when it was issued in Sesame-Key-Issued-Ms, or use a new key if the work was certainly not done")
 		}
 	}
 }
 
-// claim carries out a claim. One that finds no majority may still be held by a
-// minority of the replicas: it is given back in the background, so that a resend
-// elsewhere does not take it for work under way.
+// claim runs a claim operation. A claim without a majority may still be held by a minority of
+// the replicas, so it is released in the background: otherwise a resend at another host would
+// see the key as in progress.
 func (h *Host) claim(ctx context.Context, x *execution, region string, op *ledger.Op) *failure.Error {
 	ctx, span := h.o.Tracer.Start(ctx, "ledger.claim", trace.WithAttributes(
 		attribute.String("sesame.request_id", x.r.ID), attribute.String("sesame.home", region)))
@@ -58,18 +58,18 @@
 	if f == nil {
 		return nil
 	}
-	x.explain.ledger("claim: " + f.Detail)
+	x.explain.addLedgerStep("claim: " + f.Detail)
 	h.ledger.abandon(op.Attempt)
 	h.wg.Add(1)
 	go func() {
 		defer h.wg.Done()
-		h.giveBack(x, region, op)
+		h.releaseClaim(x, region, op)
 	}()
 	return f
 }
 
-// giveBack releases a claim that was given up before anything was dispatched.
-func (h *Host) giveBack(x *execution, region string, claim *ledger.Op) {
+// releaseClaim releases a claim that was given up before the request was dispatched.
+func (h *Host) releaseClaim(x *execution, region string, claim *ledger.Op) {
 	op := &ledger.Op{
 		Kind: ledger.OpRelease, Key: claim.Key, Attempt: claim.Attempt,
 		RetentionMS: claim.RetentionMS, NowMS: h.o.Clock.Now().UnixMilli(),
@@ -77,15 +77,15 @@
 	_ = h.ledger.do(context.Background(), x.view, region, op)
 }
 
-// claimOp returns the claim of the request's key. A key without an issue time
-// is taken to be as old as a key can be.
+// claimOp returns the operation that claims the request's key. A key without an issue time is
+// assumed to have the greatest age that a key can have.
 func (h *Host) claimOp(x *execution) *ledger.Op {
 	now := h.o.Clock.Now().UnixMilli()
 	retention := x.view.Record.Ledger.RetentionMS
 	key, issued := x.r.Key, x.r.IssuedMS
 	if key == "" {
-		// A key that this host makes was never seen before, whenever the
-		// ledger's present memory begins.
+		// A key generated here is new, whenever the ledger's records begin: its issue time lies
+		// in the future so that it is never too old for them.
 		key, issued = "request/"+x.r.ID, now+retention
 	}
 	if issued == 0 {
@@ -97,7 +97,8 @@
 	}
 }
 
-// requestDigest identifies what a request asks for.
+// requestDigest returns a digest of the request's target, method, URI and body, by which the
+// ledger detects a key that is reused for another request.
 func requestDigest(r *Request) []byte {
 	d := sha256.New()
 	for _, s := range []string{r.Target, r.Method, r.URI} {
@@ -108,48 +109,48 @@
 	return d.Sum(nil)
 }
 
-// capture is a sink that holds the answer back until the ledger has it.
-type capture struct {
+// captureSink is a Sink that holds the answer until the ledger has recorded it.
+type captureSink struct {
 	head Head
 	body []byte
 }
 
 // Head implements Sink.
-func (c *capture) Head(hd Head) error {
+func (c *captureSink) Head(hd Head) error {
 	c.head = hd
 	return nil
 }
 
 // Data implements Sink.
-func (c *capture) Data(b []byte) error {
+func (c *captureSink) Data(b []byte) error {
 	c.body = append(c.body, b...)
 	return nil
 }
 
-// runClaimed runs the request and records how it ended before the caller
-// learns of it. The caller's leaving does not end the work.
+// runClaimed runs the request and records its outcome in the ledger before the caller receives
+// it. The work continues when the caller disconnects.
 func (h *Host) runClaimed(ctx context.Context, x *execution, claim *ledger.Op) *failure.Error {
 	out := x.sink
-	held := &capture{}
+	held := &captureSink{}
 	x.sink = held
 	work, cancel := detached(ctx, x.r.Deadline)
 	defer cancel()
 	f := h.run(work, x)
 	if f == nil {
-		h.settle(x, claim, ledger.OpFinish, h.answerOf(x, held))
+		h.recordEnd(x, claim, ledger.OpFinish, h.answerOf(x, held))
 		return deliver(out, held.head, held.body)
 	}
 	if f.Outcome == failure.NotRun {
-		h.settle(x, claim, ledger.OpRelease, nil)
+		h.recordEnd(x, claim, ledger.OpRelease, nil)
 		return f
 	}
 	f.Outcome = failure.Unknown
-	h.settle(x, claim, ledger.OpFinish, &pb.LedgerAnswer{})
+	h.recordEnd(x, claim, ledger.OpFinish, &pb.LedgerAnswer{})
 	return f
 }
 
-// detached returns a context that outlives the caller's connection but keeps
-// the request's trace and deadline.
+// detached returns a context that is not canceled with the caller's connection and keeps the
+// request's trace and deadline.
 func detached(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	ctx = context.WithoutCancel(ctx)
 	if deadline.IsZero() {
@@ -168,9 +169,9 @@
 	return nil
 }
 
-// answerOf returns what the ledger keeps of an answer. A body over the limit is
-// left out: a resend then learns that the work is done, without the answer.
-func (h *Host) answerOf(x *execution, c *capture) *pb.LedgerAnswer {
+// answerOf returns the answer as the ledger stores it. A body over the limit is omitted: a
+// resend then receives the outcome without the answer.
+func (h *Host) answerOf(x *execution, c *captureSink) *pb.LedgerAnswer {
 	a := &pb.LedgerAnswer{Status: uint32(c.head.Status), Region: c.head.Region}
 	for name, values := range c.head.Header {
 		for _, v := range values {
@@ -185,42 +186,41 @@
 	return a
 }
 
-// settle records the end of a claimed attempt: its answer (status 0 for an
+// recordEnd records the end of a claimed attempt in the ledger: its answer (status 0 for an
 // unknown outcome), or that it did not run.
-func (h *Host) settle(x *execution, claim *ledger.Op, kind ledger.OpKind, a *pb.LedgerAnswer) {
+func (h *Host) recordEnd(x *execution, claim *ledger.Op, kind ledger.OpKind, a *pb.LedgerAnswer) {
 	op := &ledger.Op{
 		Kind: kind, Key: claim.Key, Attempt: claim.Attempt, Answer: a,
 		RetentionMS: claim.RetentionMS, NowMS: h.o.Clock.Now().UnixMilli(),
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), ledgerOp)
+	ctx, cancel := context.WithTimeout(context.Background(), ledgerOpTimeout)
 	defer cancel()
 	f := h.ledger.drive(ctx, x.view, op, op.Follow(claim))
 	switch {
 	case f != nil:
 		h.o.Metrics.Add("ledger_unsettled", 1)
-		x.explain.ledger("end not recorded: " + f.Detail)
+		x.explain.addLedgerStep("outcome not recorded: " + f.Detail)
 	case op.Result == ledger.Won && kind == ledger.OpRelease:
-		x.explain.ledger("released: not run")
+		x.explain.addLedgerStep("released: not run")
 	case op.Result == ledger.Won:
-		x.explain.ledger("answer recorded")
+		x.explain.addLedgerStep("answer recorded")
 	default:
 		h.o.Metrics.Add("ledger_conflicts", 1)
 		h.o.Log.Error(nil, "ledger conflict", "request_id", x.r.ID, "result", int(op.Result))
 	}
 }
 
-// attachPoll is the interval at which a resend looks for the first request's end.
-const attachPoll = 50 * time.Millisecond
+// attachPollInterval is the interval at which a resend queries the first request's outcome.
+const attachPollInterval = 50 * time.Millisecond
 
-// ownerGrace is how long the owner of a claim may be missing from the lists
-// before it counts as gone: a host that drains leaves the lists first and then
-// finishes its work.
+// ownerGrace is how long the owner of a claim may be missing from the lists of live hosts
+// before it counts as stopped: a draining host is removed from the lists first, and finishes
+// its requests afterwards.
 const ownerGrace = 5 * time.Second
 
-// attach answers a resend: with the stored answer when there is one, else it
-// waits while the host that runs the first request is alive.
-// again is true when the first attempt turned out not to have run, so that the
-// key can be claimed.
+// attach answers a resend with the stored answer. Until there is one it waits, as long as the
+// host that runs the first request is alive. again is true if the first attempt turned out not
+// to have run, so that the key can be claimed again.
 func (h *Host) attach(ctx context.Context, x *execution, region string, op *ledger.Op) (again bool, f *failure.Error) {
 	value := op.Value
 	seen := h.o.Clock.Now()
@@ -238,13 +238,13 @@
 		}
 		if restarted || now.Sub(seen) > ownerGrace {
 			return false, failure.New(failure.InProgress, failure.Unknown,
-				"the entry host that ran the first request with this key is gone; whether it ran is not known")
+				"the entry host of the first request with this key has stopped or restarted; whether the request ran is not known")
 		}
 		select {
 		case <-ctx.Done():
 			return false, failure.New(failure.InProgress, failure.Unknown, "the first request with this key is still under way").
 				WithRetryAfter(time.Second)
-		case <-time.After(attachPoll):
+		case <-time.After(attachPollInterval):
 		}
 		if v := h.ledger.query(ctx, x.view, region, op.Key); v != nil {
 			value = v
@@ -252,17 +252,17 @@
 	}
 }
 
-// owner names this life of the process as the owner of a claim.
+// owner returns the name of this run of the process as the owner of a claim.
 func (h *Host) owner() string {
 	return h.o.ID + "/" + strconv.FormatUint(h.incarnation, 10)
 }
 
-// restartGap is how much higher a host's incarnation is after a restart, at
-// least: it starts as the time in ms and rises by one with each refutation.
-const restartGap = 200
+// minRestartGap is the least difference between a host's incarnations before and after a
+// restart: the incarnation starts as the time in ms, and a refutation raises it by only one.
+const minRestartGap = 200
 
-// ownerAlive reports whether the process that owns a claim is listed as alive,
-// and whether its host is known to have been restarted since.
+// ownerAlive reports whether the process that owns a claim is listed as alive, and whether its
+// host has restarted since the claim.
 func (h *Host) ownerAlive(v *view, name string) (alive, restarted bool) {
 	id, text, _ := strings.Cut(name, "/")
 	incarnation, _ := strconv.ParseUint(text, 10, 64)
@@ -273,7 +273,7 @@
 	m, known := h.members.Get(id)
 	h.mu.Unlock()
 	if known {
-		return m.State == membership.Alive, m.Incarnation > incarnation+restartGap
+		return m.State == membership.Alive, m.Incarnation > incarnation+minRestartGap
 	}
 	for _, e := range h.liveHosts(v, v.hosts[id].FailureDomain) {
 		if e.ID == id {
@@ -291,7 +291,7 @@
 		return failure.New(failure.AnswerNotKept, failure.Done, "the first request with this key was done; its answer was too large to keep")
 	}
 	h.o.Metrics.Add("answers_replayed", 1)
-	x.explain.ledger("stored answer given again")
+	x.explain.addLedgerStep("stored answer replayed")
 	hd := Head{Status: int(a.Status), Header: http.Header{}, Region: a.Region}
 	for _, e := range a.Headers {
 		hd.Header.Add(e.Name, e.Value)
--- a/internal/app/entry/peer.go
+++ b/internal/app/entry/peer.go
@@ -8,9 +8,9 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// HandleRequest answers the other hosts' requests; see port.PeerHandler.
+// HandleRequest implements port.PeerHandler: it answers messages of other hosts.
 func (h *Host) HandleRequest(ctx context.Context, req *pb.Request) *pb.Response {
-	h.heardStamp(req.From, "", req.Stamp, req.MaxSchema)
+	h.recordStamp(req.From, "", req.Stamp, req.MaxSchema)
 	resp := &pb.Response{From: h.o.ID, Stamp: h.Stamp(), MaxSchema: configstate.CurrentSchema}
 	if h.config.Load() == nil && !alwaysServed(req) {
 		resp.Refusal = &pb.Refusal{Code: string(failure.NotReady), Detail: "no configuration yet"}
@@ -23,15 +23,15 @@
 	case *pb.Request_IndirectProbe:
 		resp.Body = &pb.Response_ProbeAck{ProbeAck: h.answerIndirect(ctx, b.IndirectProbe)}
 	case *pb.Request_DomainUpdate:
-		h.takeUpdate(req.From, b.DomainUpdate)
+		h.mergeUpdate(req.From, b.DomainUpdate)
 	case *pb.Request_SummaryUpdate:
-		h.takeSummaries(b.SummaryUpdate)
+		h.mergeSummaries(b.SummaryUpdate)
 	case *pb.Request_ConfigFetch:
 		if blob := h.configReply(b.ConfigFetch); blob != nil {
 			resp.Body = &pb.Response_Config{Config: blob}
 		}
 	case *pb.Request_ConfigOffer:
-		// The stamp in the head was taken in above.
+		// The stamp of the request was recorded above.
 	case *pb.Request_Ledger:
 		resp.Body = &pb.Response_Ledger{Ledger: h.ledger.handle(b.Ledger)}
 	case *pb.Request_QuarantineUpdate:
--- a/internal/app/entry/place.go
+++ b/internal/app/entry/place.go
@@ -10,14 +10,14 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// ticket is a request that waits for a place.
+// ticket is the result for a request that waits for a place.
 type ticket struct {
-	done chan struct{}
-	got  *placement.Place
-	err  *failure.Error
+	done  chan struct{}
+	place *placement.Place
+	err   *failure.Error
 }
 
-// job describes the request to the placement core.
+// job returns the description of the request for the placement.
 func (x *execution) job() *placement.Job {
 	kind := backend.KindEngine
 	if x.r.Service {
@@ -30,8 +30,8 @@
 	}
 }
 
-// acquire returns a place for the next attempt. When none is free the request
-// waits in the queue, unless it would wait beyond its deadline.
+// acquire returns a place for the next attempt. If none is free the request waits in the queue,
+// unless it would wait beyond its deadline.
 func (h *Host) acquire(ctx context.Context, x *execution) (*placement.Place, *failure.Error) {
 	h.mu.Lock()
 	p, w, d, err := h.place.Acquire(x.job(), h.o.Clock.Now())
@@ -41,15 +41,15 @@
 		h.waiting[w] = t
 	}
 	h.mu.Unlock()
-	x.explain.decision(d)
+	x.explain.addDecision(d)
 	switch {
 	case err != nil:
 		h.o.Metrics.Add("refused_at_once", 1)
 		return nil, failure.As(err, failure.NotRun).WithEntryHosts(h.otherURLs())
 	case w == nil:
-		return h.addressed(x, p), nil
+		return h.withPeerAddress(x, p), nil
 	}
-	h.poke(h.wake)
+	h.signal(h.dispatchNow)
 	return h.await(ctx, x, w, t)
 }
 
@@ -64,9 +64,9 @@
 		}
 		h.mu.Unlock()
 		if canceled {
-			return nil, failure.New(failure.Canceled, failure.NotRun, "the caller went away while the request waited")
+			return nil, failure.New(failure.Canceled, failure.NotRun, "the request was canceled while it waited in the queue")
 		}
-		<-t.done // granted at this moment
+		<-t.done // the wait ended before it could be canceled
 	}
 	wait := h.o.Clock.Now().Sub(w.Enqueued)
 	h.o.Metrics.Observe("queue_wait", wait)
@@ -74,19 +74,21 @@
 	if t.err != nil {
 		return nil, t.err
 	}
-	x.explain.decision(t.got.Decision)
-	return h.addressed(x, t.got), nil
+	x.explain.addDecision(t.place.Decision)
+	return h.withPeerAddress(x, t.place), nil
 }
 
-// addressed fills in the address of the entry host that the place names.
-func (h *Host) addressed(x *execution, p *placement.Place) *placement.Place {
+// withPeerAddress sets the peer address of a place at another entry host, and returns the
+// place.
+func (h *Host) withPeerAddress(x *execution, p *placement.Place) *placement.Place {
 	if p.Server == nil {
 		p.Address = x.view.hosts[p.ServerID].Peer
 	}
 	return p
 }
 
-// dispatch hands free places to the requests that go next.
+// dispatch gives free places to waiting requests in the queue's order, and refuses those that
+// have waited too long.
 func (h *Host) dispatch() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,22 +98,21 @@
 	for _, g := range h.place.Grants(h.o.Clock.Now()) {
 		t := h.waiting[g.Waiter]
 		delete(h.waiting, g.Waiter)
-		t.got, t.err = g.Place, failure.As(g.Err, failure.NotRun)
+		t.place, t.err = g.Place, failure.As(g.Err, failure.NotRun)
 		close(t.done)
 	}
 }
 
-// release gives a place back and wakes those that wait.
+// release returns a place, and triggers a dispatch if requests wait.
 func (h *Host) release(p *placement.Place, connected bool) {
 	h.mu.Lock()
 	h.place.Release(p, connected, h.o.Clock.Now())
 	waiting := h.place.Waiting()
 	h.mu.Unlock()
 	if waiting > 0 {
-		h.poke(h.wake)
+		h.signal(h.dispatchNow)
 	}
 }
 
-// summaryStale is the age from which another failure domain's list of hosts is
-// not used.
-const summaryStale = 20 * time.Second
+// summaryMaxAge is the age from which another failure domain's list of hosts is not used.
+const summaryMaxAge = 20 * time.Second
--- a/internal/app/entry/probe.go
+++ b/internal/app/entry/probe.go
@@ -8,26 +8,26 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// helpers is the number of hosts asked to probe for another.
-const helpers = 2
+// indirectProbers is the number of hosts asked to probe a target that did not answer.
+const indirectProbers = 2
 
-// frozenFactor times the probe interval without a probe of its own means that
-// the process was frozen.
+// frozenFactor is the number of probe intervals without a probe by this host after which its
+// process counts as having been frozen.
 const frozenFactor = 3
 
-// probe watches the hosts of the failure domain.
+// probe probes the hosts of the failure domain that are due.
 func (h *Host) probe(ctx context.Context) {
 	v := h.config.Load()
 	if v == nil {
 		return
 	}
-	h.noteFreeze()
+	h.detectFreeze()
 	h.probedAt.Store(h.o.Clock.Now().UnixNano())
 	h.mu.Lock()
 	targets := h.members.Targets()
 	h.mu.Unlock()
 	if len(targets) == 0 {
-		h.unsure.Store(false)
+		h.awaitingPeer.Store(false)
 	}
 	for _, target := range targets {
 		h.wg.Add(1)
@@ -38,15 +38,15 @@
 	}
 }
 
-// noteFreeze detects that this process stood still for longer than its
-// neighbours wait: it may be held dead and asks them before it takes work.
-func (h *Host) noteFreeze() {
+// detectFreeze detects that this process was suspended for several probe intervals. Other hosts
+// may have declared this one dead, so it accepts no requests until another host has answered.
+func (h *Host) detectFreeze() {
 	now := h.o.Clock.Now()
 	last := h.probedAt.Load()
 	if last == 0 {
 		return
 	}
-	if pause := now.Sub(time.Unix(0, last)); pause > frozenFactor*h.o.Probe && !h.unsure.Swap(true) {
+	if pause := now.Sub(time.Unix(0, last)); pause > frozenFactor*h.o.Probe && !h.awaitingPeer.Swap(true) {
 		h.o.Metrics.Add("thawed", 1)
 		h.o.Log.Info("process was frozen", "ms", pause.Milliseconds())
 	}
@@ -57,11 +57,11 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if h.probeDirect(ctx, v, target) {
-		h.unsure.Store(false)
+		h.awaitingPeer.Store(false)
 		return
 	}
 	h.mu.Lock()
-	others := h.members.Helpers(target, helpers)
+	others := h.members.Helpers(target, indirectProbers)
 	h.mu.Unlock()
 	reached := make(chan bool, len(others))
 	for _, id := range others {
@@ -78,7 +78,7 @@
 	h.members.Failed(target, h.o.Clock.Now())
 	h.mu.Unlock()
 	if len(others) == 0 {
-		h.unsure.Store(false) // nobody to ask: alone, the host serves on
+		h.awaitingPeer.Store(false) // no other host can be asked; a host that is alone serves on
 	}
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return false
 	}
-	h.heardStamp(resp.From, v.hosts[target].Peer, resp.Stamp, resp.MaxSchema)
+	h.recordStamp(resp.From, v.hosts[target].Peer, resp.Stamp, resp.MaxSchema)
 	ack := resp.GetProbeAck()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -111,14 +111,14 @@
 	return err == nil && resp.GetProbeAck().GetReached()
 }
 
-// answerProbe takes another host's probe.
+// answerProbe merges the updates of another host's probe and returns the answer to it.
 func (h *Host) answerProbe(req *pb.Request, p *pb.Probe) *pb.ProbeAck {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.o.Clock.Now()
 	if h.members.Merge(p.Updates, now) {
 		h.o.Metrics.Add("held_dead", 1)
-		h.o.Log.Info("held dead by a neighbour; refuted", "by", req.From, "incarnation", h.members.Incarnation())
+		h.o.Log.Info("held dead by another host; refuted", "by", req.From, "incarnation", h.members.Incarnation())
 	}
 	h.members.Acked(req.From, req.Incarnation, p.Draining, now)
 	return &pb.ProbeAck{Updates: h.members.Updates(req.From), Draining: h.draining.Load()}
@@ -135,8 +135,9 @@
 	return &pb.ProbeAck{Reached: h.probeDirect(ctx, v, host.ID)}
 }
 
-// memberEvents acts on hosts that were found dead or alive.
-func (h *Host) memberEvents() {
+// handleMemberEvents logs and counts members' changes of state, and closes the links to dead
+// ones.
+func (h *Host) handleMemberEvents() {
 	h.mu.Lock()
 	events := h.members.Events()
 	h.place.Table.SetSharers(1 + len(h.members.Live()))
--- a/internal/app/entry/prompt.go
+++ b/internal/app/entry/prompt.go
@@ -7,15 +7,15 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Prompt is what the gateway reads of an OpenAI-style request body.
+// Prompt holds the fields of an OpenAI-style request body that routing uses.
 type Prompt struct {
 	Model     string
 	Stream    bool
 	MaxTokens float64
-	Text      string // all of the prompt's text in order
+	Text      string // the whole prompt or all messages, in order
 }
 
-// defaultMaxTokens is assumed when a request states no limit.
+// defaultMaxTokens is assumed for a request without a token limit.
 const defaultMaxTokens = 256
 
 type promptBody struct {
@@ -32,11 +32,11 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// ParsePrompt reads the body of a chat or text completion.
+// ParsePrompt parses the body of a chat or text completion request.
 func ParsePrompt(body []byte) (*Prompt, error) {
 	var b promptBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return nil, failure.New(failure.BadRequest, failure.NotRun, "the body is not JSON of a completion: %s", err)
+		return nil, failure.New(failure.BadRequest, failure.NotRun, "the body is not the JSON of a completion request: %s", err)
 	}
 	if b.Model == "" {
 		return nil, failure.New(failure.BadRequest, failure.NotRun, "the body names no model")
@@ -60,7 +60,7 @@
 	return p, nil
 }
 
-// writeContent writes a content that is a string, or else its JSON.
+// writeContent writes a content's text if it is a JSON string, else its raw JSON.
 func writeContent(w *strings.Builder, raw json.RawMessage) {
 	var s string
 	if len(raw) > 0 && json.Unmarshal(raw, &s) == nil {
