--- a/internal/daemon/callerconn.go
+++ b/internal/daemon/callerconn.go
@@ -9,80 +9,84 @@
 	"time"
 )
 
-// callerConn is a caller's connection.
+// callerConn is a connection of a caller. Its reader closes it when the server finishes and the
+// connection is idle.
 type callerConn struct {
 	net.Conn
 	server *CallerServer
 
 	mu sync.Mutex
-	// read is set from the first byte of a request until its answer is written.
-	read bool
-	// woken is set when the server that finishes has ended a wait for the next request.
-	woken bool
-	// late is set when an answer ended after the server began to finish: whatever follows
-	// on the connection was sent later still.
-	late bool
+	// inRequest is set from the first byte of a request until its answer is written.
+	inRequest bool
+	// wakePending is set while the server has interrupted the reader's wait for the next
+	// request and the reader has not handled that yet.
+	wakePending bool
+	// answeredLate is set when an answer ended after the server began to finish: any further
+	// request on the connection was sent after that.
+	answeredLate bool
 }
 
-// past is a deadline that ends a read at once.
-var past = time.Unix(1, 0)
+// expiredDeadline makes a read return at once.
+var expiredDeadline = time.Unix(1, 0)
 
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if n > 0 {
-			c.setRead()
+			c.setInRequest()
 			return n, err
 		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) || !c.wasWoken() {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !c.isWakePending() {
 			return n, err
 		}
-		if !c.goesOn() {
+		if !c.resumeOrClose() {
 			return 0, io.EOF
 		}
 	}
 }
 
-// setRead notes that a request begins, and takes back the end of a wait that came with it.
-func (c *callerConn) setRead() {
+// setInRequest marks the start of a request, and cancels an interruption of the wait for it
+// that came at the same time.
+func (c *callerConn) setInRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.read = true
-	if c.woken {
-		c.woken = false
-		_ = c.SetReadDeadline(time.Time{}) // an error shows at the next read
+	c.inRequest = true
+	if c.wakePending {
+		c.wakePending = false
+		_ = c.SetReadDeadline(time.Time{}) // an error recurs at the next read
 	}
 }
 
-func (c *callerConn) wasWoken() bool {
+func (c *callerConn) isWakePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.woken
+	return c.wakePending
 }
 
-// goesOn decides, for a reader that was woken, whether something was sent that it has to
-// read. If not, the connection is closed here, with nothing done in between.
-func (c *callerConn) goesOn() bool {
+// resumeOrClose decides for an interrupted reader whether it has to read on, because the caller
+// has sent something. If not, it closes the connection here, under the lock, so that nothing
+// happens between the check and the close.
+func (c *callerConn) resumeOrClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.woken = false
-	if !c.read && !readable(c.Conn) {
-		_ = c.Conn.Close() // net/http closes it once more, and forgets it
+	c.wakePending = false
+	if !c.inRequest && !readable(c.Conn) {
+		_ = c.Conn.Close() // net/http closes it again and ignores the error
 		return false
 	}
-	c.read = true
-	_ = c.SetReadDeadline(time.Time{}) // an error shows at the next read
+	c.inRequest = true
+	_ = c.SetReadDeadline(time.Time{}) // an error recurs at the next read
 	return true
 }
 
-// wakeIfIdle ends the wait for the next request.
+// wakeIfIdle interrupts the reader's wait for the next request.
 func (c *callerConn) wakeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.read {
-		c.woken = true
-		_ = c.SetReadDeadline(past) // an error means that it is closed
+	if !c.inRequest {
+		c.wakePending = true
+		_ = c.SetReadDeadline(expiredDeadline) // an error means that the connection is closed
 	}
 }
 
@@ -97,12 +101,12 @@
 func (c *callerConn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.read = false
-	c.late = c.server.finished.Load()
+	c.inRequest = false
+	c.answeredLate = c.server.finishing.Load()
 }
 
-func (c *callerConn) isLate() bool {
+func (c *callerConn) wasAnsweredLate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.late
+	return c.answeredLate
 }
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -12,30 +12,30 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// CallerServer is an HTTP server that stops without losing a request. net/http closes the
-// connections that it counts as idle; one whose next request lies in the socket, or has been
-// read but not yet parsed, still counts as idle then; a host that is behind in its work has
-// such connections at its stop. Here the goroutine that reads a connection closes it, after
-// it has found the socket empty: nobody else can tell that nothing is on its way through the
-// process (TestFinishAnswersWhatWasSent, TestIdleCloseLosesNoRequest).
+// CallerServer is an HTTP server that shuts down without losing a request. net/http closes the
+// connections that it counts as idle. These include connections whose next request is unread in
+// the socket, or has been read but not yet parsed; an overloaded host has such connections when
+// it shuts down. Here the goroutine that reads a connection closes it, after it has found the
+// socket empty: no other goroutine can rule out that bytes have been read and not yet processed
+// (TestFinishAnswersWhatWasSent, TestIdleCloseLosesNoRequest).
 type CallerServer struct {
-	// TooLate refuses a request that was sent after the server began to finish: it could be
-	// cut by the end of the process. Nil serves it.
+	// TooLate answers requests that were sent after the server began to finish, since the end
+	// of the process could interrupt them. If nil, they are served like any other.
 	TooLate http.Handler
 
-	srv      *http.Server
-	ln       net.Listener
-	draining atomic.Bool
-	finished atomic.Bool
+	srv       *http.Server
+	ln        net.Listener
+	draining  atomic.Bool
+	finishing atomic.Bool
 
 	mu    sync.Mutex
 	conns map[*callerConn]struct{}
 
-	raw    net.Listener  // the socket below ln
-	served chan struct{} // closed when Serve has returned
+	raw    net.Listener  // the TCP listener that ln wraps
+	served chan struct{} // closed when Serve returns
 }
 
-// NewCallerServer listens on addr for callers of a handler.
+// NewCallerServer returns a server that listens on addr and serves callers with h.
 func NewCallerServer(addr string, h http.Handler, tlsConfig *tls.Config) (*CallerServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -51,18 +51,18 @@
 		s.ln = tls.NewListener(s.ln, tlsConfig)
 	}
 	s.srv = &http.Server{
-		Handler: s.closing(h), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: s.stateChanged,
+		Handler: s.handleDraining(h), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: s.stateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
 	return s
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// closing lets the answers that begin while the server drains end their connections, and
-// refuses the requests that come too late.
-func (s *CallerServer) closing(h http.Handler) http.Handler {
+// handleDraining returns a handler that closes the connection after each answer that begins
+// while the server drains, and passes requests that were sent too late to TooLate.
+func (s *CallerServer) handleDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -75,18 +75,18 @@
 	})
 }
 
-// tooLate reports whether a request was sent after the server began to finish: only then
-// had its connection's last answer ended.
+// tooLate reports whether a request was sent after the server began to finish, which is certain
+// only if the previous answer on its connection ended after that.
 func tooLate(r *http.Request) bool {
 	c, ok := r.Context().Value(connKey{}).(net.Conn)
 	if !ok {
 		return false
 	}
 	conn, ok := callerConnOf(c)
-	return ok && conn.isLate()
+	return ok && conn.wasAnsweredLate()
 }
 
-// callerConnOf returns the connection below TLS.
+// callerConnOf returns the callerConn of a connection, with or without TLS.
 func callerConnOf(c net.Conn) (conn *callerConn, ok bool) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
@@ -95,43 +95,43 @@
 	return conn, ok
 }
 
-// Serve serves until Finish. It is called once.
+// Serve serves requests until Finish. It must be called only once.
 func (s *CallerServer) Serve() error {
 	defer close(s.served)
-	if err := s.srv.Serve(s.ln); err != http.ErrServerClosed && !s.finished.Load() {
+	if err := s.srv.Serve(s.ln); err != http.ErrServerClosed && !s.finishing.Load() {
 		return failure.Wrap(err, failure.Internal, "")
 	}
 	return nil
 }
 
-// StartDraining lets each answer end its connection; requests are still taken.
+// StartDraining makes each answer close its connection. Requests are still accepted.
 func (s *CallerServer) StartDraining() { s.draining.Store(true) }
 
-// idlePoll is how often a server that finishes looks for connections that became idle.
-const idlePoll = 10 * time.Millisecond
+// idlePollInterval is the interval at which a finishing server looks for connections that became idle.
+const idlePollInterval = 10 * time.Millisecond
 
-// Finish takes the connections that wait already and no more, answers what was sent on them,
-// and closes each one once it is idle. It returns the number of connections that were still
-// busy when ctx ended.
+// Finish accepts the connections that are waiting already and no others, answers the requests
+// that were sent, and closes each connection once it is idle. It returns the number of
+// connections that were still open when ctx ended.
 func (s *CallerServer) Finish(ctx context.Context) (cut int) {
 	s.StartDraining()
-	s.finished.Store(true)
-	t := time.NewTicker(idlePoll)
+	s.finishing.Store(true)
+	t := time.NewTicker(idlePollInterval)
 	defer t.Stop()
-	s.acceptWaiting(ctx, t.C)
-	_ = s.ln.Close() // nothing more is accepted, whatever it says
+	s.awaitEmptyBacklog(ctx, t.C)
+	_ = s.ln.Close() // no more connections are accepted, even if Close fails
 	select {
-	case <-s.served: // a connection that was being accepted is known now
+	case <-s.served: // a connection that was being accepted is in s.conns now
 	case <-ctx.Done():
 	}
-	cut = s.closeEach(ctx, t.C)
-	_ = s.srv.Close() // the busy ones are cut
+	cut = s.closeAllIdle(ctx, t.C)
+	_ = s.srv.Close() // interrupts the requests that still run
 	return cut
 }
 
-// acceptWaiting waits until no connection waits to be accepted: the close of the listener
-// resets those that do, with the requests on them.
-func (s *CallerServer) acceptWaiting(ctx context.Context, tick <-chan time.Time) {
+// awaitEmptyBacklog waits until no connection waits to be accepted: closing the listener resets
+// those that do, and their requests are lost.
+func (s *CallerServer) awaitEmptyBacklog(ctx context.Context, tick <-chan time.Time) {
 	for readable(s.raw) {
 		select {
 		case <-tick:
@@ -141,9 +141,9 @@
 	}
 }
 
-// closeEach closes the connections as they become idle, and returns the number of those
-// that were still there when ctx ended.
-func (s *CallerServer) closeEach(ctx context.Context, tick <-chan time.Time) (cut int) {
+// closeAllIdle closes the connections as they become idle, and returns the number of those that
+// were still open when ctx ended.
+func (s *CallerServer) closeAllIdle(ctx context.Context, tick <-chan time.Time) (cut int) {
 	for {
 		if cut = s.closeIdle(); cut == 0 {
 			return 0
@@ -156,8 +156,8 @@
 	}
 }
 
-// closeIdle wakes the readers of the idle connections, which then close them or read on. It
-// returns the number of connections that are still open.
+// closeIdle interrupts the readers of the idle connections, which then close them or read on.
+// It returns the number of connections that are still open.
 func (s *CallerServer) closeIdle() (open int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/daemon/callers_late_test.go
+++ b/internal/daemon/callers_late_test.go
@@ -10,18 +10,19 @@
 	"testing"
 )
 
-// TestLateRequestsAreRefused tells this story. A caller's answer began before its host was
-// told to stop, so it did not end the connection, and it ended when the host had stopped
-// taking requests. The caller sent its next request on the connection at once. The host
-// served what it found, 4 s after SIGTERM, and cut it off with the end of the grace time. A
-// request on such a connection is refused before it runs, or finds the connection closed;
-// one that was sent before the host stopped taking requests is served.
+// TestLateRequestsAreRefused guards against requests that are interrupted because they were
+// sent after the host stopped taking requests. An answer that began before the host was told to
+// stop doesn't close its connection. If it ends after the host has stopped taking requests, the
+// caller can send another request on the connection. Such a request was served 4 s after
+// SIGTERM and interrupted at the end of the grace time. It must be refused before it runs, or
+// find the connection closed; a request that was sent before the host stopped taking requests
+// is served.
 func TestLateRequestsAreRefused(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		endsAfter bool // the first answer ends after the server began to finish
 		next      bool // the caller sends another request
-		status    int  // of its answer; 0 for a closed connection
+		status    int  // status of the next request's answer; 0 for a closed connection
 	}{
 		{"the answer ends late, the next request follows", true, true, http.StatusServiceUnavailable},
 		{"the answer ends late, nothing follows", true, false, 0},
@@ -29,21 +30,21 @@
 		{"the answer ended in time, nothing follows", false, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFinishing(t, c.next)
+			f := newLateFixture(t, c.next)
 			f.caller.send()
 			<-f.began
 			f.s.StartDraining()
 			finished := make(chan int, 1)
 			finish := func() {
 				go func() { finished <- f.s.Finish(context.Background()) }()
-				for !f.s.finished.Load() {
+				for !f.s.finishing.Load() {
 					runtime.Gosched()
 				}
 			}
 			if c.endsAfter {
 				finish()
 			}
-			close(f.goOn)
+			close(f.finishFirst)
 			if !f.caller.answered() {
 				t.Fatal("the first request was not answered")
 			}
@@ -79,32 +80,32 @@
 	}
 }
 
-// finishing is a server with one request under way, and its caller.
-type finishing struct {
-	s      *CallerServer
-	caller *caller
-	began  chan struct{} // the first request runs
-	goOn   chan struct{} // its answer may end
-	idle   chan struct{} // the connection is idle after it
-	served chan error
-	ran    atomic.Int32
+// lateFixture is a server with one request in flight, and its caller.
+type lateFixture struct {
+	s           *CallerServer
+	caller      *caller
+	began       chan struct{} // receives once the first request runs
+	finishFirst chan struct{} // closed to let the first answer end
+	idle        chan struct{} // closed once the connection is idle after the first answer
+	served      chan error
+	ran         atomic.Int32
 }
 
-// newFinishing serves one connection. With next, the connection counts as idle only once
-// the caller's next request lies in its socket.
-func newFinishing(t *testing.T, next bool) *finishing {
+// newLateFixture returns a server that serves one connection. With next set, the connection
+// counts as idle only once the caller's next request is in its socket.
+func newLateFixture(t *testing.T, next bool) *lateFixture {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &finishing{began: make(chan struct{}, 1), goOn: make(chan struct{}), idle: make(chan struct{}), served: make(chan error, 1)}
+	f := &lateFixture{began: make(chan struct{}, 1), finishFirst: make(chan struct{}), idle: make(chan struct{}), served: make(chan error, 1)}
 	f.s = newCallerServer(ln, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
-		_ = http.NewResponseController(w).Flush() // the answer's head is on its way
+		_ = http.NewResponseController(w).Flush() // sends the answer's head
 		if f.ran.Add(1) == 1 {
 			f.began <- struct{}{}
-			<-f.goOn
+			<-f.finishFirst
 		}
 		_, _ = io.WriteString(w, "done")
 	}), nil)
--- a/internal/daemon/callers_test.go
+++ b/internal/daemon/callers_test.go
@@ -10,16 +10,16 @@
 	"testing"
 )
 
-// heldConn is a connection whose reads are handed over one at a time by the test.
+// heldConn is a connection whose reads return only when the test releases them, one at a time.
 type heldConn struct {
 	net.Conn
-	arrived chan struct{} // a read has bytes
-	release chan struct{} // the reader may have them
+	arrived chan struct{} // receives when a read has bytes
+	release chan struct{} // lets the read return
 }
 
 func (c *heldConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 1 { // net/http watches for the caller's leaving by reads of one byte
+	if n > 1 { // net/http detects a caller that disconnects by reads of one byte
 		c.arrived <- struct{}{}
 		<-c.release
 	}
@@ -41,10 +41,10 @@
 	return h, nil
 }
 
-// TestIdleCloseLosesNoRequest stops the server at each point of a kept connection's next
-// request: before it arrived, while its bytes are on their way to the server's reader, and
-// after they were read. A request that runs must be answered; one that does not run may
-// find its connection closed.
+// TestIdleCloseLosesNoRequest stops the server at each point of the next request on a kept
+// connection: before it arrives, after its bytes were read from the socket and before net/http
+// receives them, and while the request runs. A request that runs must be answered; one that
+// does not run may find its connection closed.
 func TestIdleCloseLosesNoRequest(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -98,7 +98,7 @@
 			} else if _, err := io.ReadAll(resp.Body); err != nil {
 				t.Fatal(err)
 			}
-			for !s.idle() { // the answer arrives before the server counts the connection as idle
+			for !s.idle() { // the caller receives the answer before the server counts the connection as idle
 				runtime.Gosched()
 			}
 			if c.when != "before" {
@@ -111,14 +111,14 @@
 			finished := make(chan int, 1)
 			if c.when == "runs" {
 				go func() { finished <- s.Finish(context.Background()) }()
-				for !s.finished.Load() {
+				for !s.finishing.Load() {
 					runtime.Gosched()
 				}
 				close(goOn)
 			} else {
 				s.closeIdle()
 				close(server.release)
-				for s.open() > 0 && len(ran) == 0 { // until the connection's reader has ended
+				for s.open() > 0 && len(ran) == 0 { // until the connection's reader has closed it or the request runs
 					runtime.Gosched()
 				}
 				finished <- s.Finish(context.Background())
@@ -134,35 +134,36 @@
 				t.Error(err)
 			}
 			if !c.answered && len(ran) > 0 {
-				t.Error("a request ran whose caller got no answer")
+				t.Error("a request ran, but its caller received no answer")
 			}
 		})
 	}
 }
 
-// open returns the number of connections that the server has not closed.
+// open returns the number of connections that are not closed.
 func (s *CallerServer) open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// idle reports whether all connections are idle.
+// idle reports whether no connection is within a request.
 func (s *CallerServer) idle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.mu.Lock()
-		read := c.read
+		inRequest := c.inRequest
 		c.mu.Unlock()
-		if read {
+		if inRequest {
 			return false
 		}
 	}
 	return true
 }
 
-// TestAnswersEndConnectionsWhileDraining checks that callers are told to leave.
+// TestAnswersEndConnectionsWhileDraining checks that answers close their connections once the
+// server drains, so that callers go to other hosts.
 func TestAnswersEndConnectionsWhileDraining(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -181,7 +182,7 @@
 		}
 		_ = resp.Body.Close()
 		if resp.Close != draining {
-			t.Errorf("draining %v: the answer ends the connection: %v", draining, resp.Close)
+			t.Errorf("draining %v: the answer closes the connection: %v", draining, resp.Close)
 		}
 	}
 	if cut := s.Finish(context.Background()); cut != 0 {
--- a/internal/daemon/callers_unread_test.go
+++ b/internal/daemon/callers_unread_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// starvedConn is a connection whose reader gets the processor when run is closed.
+// starvedConn is a connection whose reader is blocked, as if it got no CPU time, until run is
+// closed.
 type starvedConn struct {
 	*net.TCPConn
 	starved atomic.Bool
@@ -26,8 +27,8 @@
 	return c.TCPConn.Read(p)
 }
 
-// starvedListener accepts when run is closed, and hands over what it accepted when handOver
-// is closed.
+// starvedListener accepts connections once run is closed, and returns them from Accept once
+// handOver is closed.
 type starvedListener struct {
 	*net.TCPListener
 	run      chan struct{}
@@ -70,7 +71,7 @@
 	t    *testing.T
 	conn net.Conn
 	in   *bufio.Reader
-	sent bool // a request without an answer
+	sent bool // a request was sent whose answer was not read
 }
 
 func newCaller(t *testing.T, ln net.Listener) *caller {
@@ -91,7 +92,7 @@
 	c.sent = true
 }
 
-// answered reports whether a whole answer comes.
+// answered reports whether a complete answer is received.
 func (c *caller) answered() bool {
 	c.sent = false
 	resp, err := http.ReadResponse(c.in, nil)
@@ -102,28 +103,27 @@
 	return err == nil && string(body) == "done"
 }
 
-// TestFinishAnswersWhatWasSent tells this story. A caller sent a whole request on a kept
-// connection to a host that had been told to stop and still took requests; it got no answer
-// and no refusal, and the host's log knew nothing of it. The host was 100 to 200 ms behind in
-// its work. The time in which it takes requests ended, and it closed each connection from
-// which it had read nothing since the last answer: the request lay unread in the socket.
-// That a process has read nothing does not say that nothing was sent.
+// TestFinishAnswersWhatWasSent guards against requests that are lost in the sockets of a
+// stopping host. An overloaded host, 100 to 200 ms behind, was told to stop. When it stopped
+// taking requests, it closed each connection from which it had read nothing since the last
+// answer, although a request could be unread in the socket: the caller received neither an
+// answer nor a refusal, and the host logged nothing. The same holds for a connection that waits
+// to be accepted.
 //
-// Evidence: on two days that showed it the host had closed connections with bytes unread in
-// their sockets, 1 and 6; stopping hosts also dropped bytes that were read a moment before
-// the close. The same holds for a connection that waits to be accepted.
+// In two recorded cases the host had closed 1 and 6 connections with unread bytes in their
+// sockets. Stopping hosts also dropped bytes that had been read just before the close.
 func TestFinishAnswersWhatWasSent(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		waits, carries bool // the connection waits to be accepted; it carries a request
 	}{
 		{"a request is unread", false, true},
-		{"a kept connection carries nothing", false, false},
+		{"a kept connection carries no request", false, false},
 		{"a connection with a request waits to be accepted", true, true},
 		{"a connection without a request waits to be accepted", true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newStopping(t)
+			f := newStarvedServer(t)
 			if c.waits {
 				f.connect()
 			} else {
@@ -146,10 +146,11 @@
 	}
 }
 
-// TestFinishAwaitsAConnectionBeingAccepted: a connection has left the listener's queue and is
-// not known to the server yet. The server is not done before its request is answered.
+// TestFinishAwaitsAConnectionBeingAccepted finishes while a connection has left the listener's
+// backlog and is not recorded by the server yet. Finish must not return before the request on
+// the connection is answered.
 func TestFinishAwaitsAConnectionBeingAccepted(t *testing.T) {
-	f := newStarved(t)
+	f := newStarvedFixture(t)
 	close(f.ln.run)
 	f.caller = newCaller(t, f.ln)
 	f.send()
@@ -162,7 +163,7 @@
 	}
 	select {
 	case <-finished:
-		t.Error("done with a connection being accepted")
+		t.Error("Finish returned while a connection was being accepted")
 		finished <- 0
 	default:
 	}
@@ -178,31 +179,31 @@
 	}
 }
 
-// stopping is a server whose goroutines get the processor late, and a caller of it.
-type stopping struct {
+// starvedFixture is a server whose goroutines run late, with its caller.
+type starvedFixture struct {
 	*caller
 	ln     *starvedListener
 	s      *CallerServer
 	served chan error
-	conn   *starvedConn // nil while it is not accepted
+	conn   *starvedConn // nil until the connection is accepted
 }
 
-func newStopping(t *testing.T) *stopping {
+func newStarvedServer(t *testing.T) *starvedFixture {
 	t.Helper()
-	f := newStarved(t)
+	f := newStarvedFixture(t)
 	close(f.ln.handOver)
 	return f
 }
 
-func newStarved(t *testing.T) *stopping {
+func newStarvedFixture(t *testing.T) *starvedFixture {
 	t.Helper()
-	f := &stopping{ln: newStarvedListener(t), served: make(chan error, 1)}
+	f := &starvedFixture{ln: newStarvedListener(t), served: make(chan error, 1)}
 	f.s = newCallerServer(f.ln, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "done")
 	}), nil)
 	f.s.srv.ConnState = func(c net.Conn, state http.ConnState) {
 		f.s.stateChanged(c, state)
-		if state == http.StateIdle { // no read is under way then
+		if state == http.StateIdle { // no read is in progress at this point
 			c.(*callerConn).Conn.(*starvedConn).starved.Store(true)
 		}
 	}
@@ -211,16 +212,16 @@
 	return f
 }
 
-// connect opens a connection that waits to be accepted.
-func (f *stopping) connect() {
+// connect opens a connection and waits until it is in the listener's backlog.
+func (f *starvedFixture) connect() {
 	f.caller = newCaller(f.t, f.ln)
 	for !readable(f.ln.TCPListener) {
 		runtime.Gosched()
 	}
 }
 
-// keepIdle opens a connection, has one request answered, and lets its reader starve.
-func (f *stopping) keepIdle() {
+// keepIdle opens a connection, gets one request answered, and blocks the connection's reader.
+func (f *starvedFixture) keepIdle() {
 	f.connect()
 	close(f.ln.run)
 	f.conn = <-f.ln.conns
@@ -233,9 +234,9 @@
 	}
 }
 
-// finishWhileStarved lets the server finish, and the rest of it run only once it has looked
-// at its connections.
-func (f *stopping) finishWhileStarved() <-chan int {
+// finishWhileStarved finishes the server. The blocked goroutines continue only after the server
+// has checked its connections.
+func (f *starvedFixture) finishWhileStarved() <-chan int {
 	if f.conn != nil {
 		for f.sent && !readable(f.conn.TCPConn) {
 			runtime.Gosched()
@@ -251,10 +252,10 @@
 	return finished
 }
 
-// runOnceFinishing lets connections be accepted once the server has begun to finish, and has
-// had the time to close the listener.
+// runOnceFinishing lets connections be accepted once the server has begun to finish and has had
+// time to close the listener.
 func (l *starvedListener) runOnceFinishing(s *CallerServer) {
-	for !s.finished.Load() {
+	for !s.finishing.Load() {
 		runtime.Gosched()
 	}
 	for range 1000 {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon holds what the long-running binaries share: flags, signals and
-// the HTTP server's life.
+// Package daemon provides what the long-running programs share: flags, signals, exit codes and
+// HTTP servers.
 package daemon
 
 import (
@@ -19,34 +19,35 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Exit codes of the binaries.
+// Exit codes of the programs.
 const (
 	ExitOK       = 0
-	ExitFailure  = 1 // the process failed while it ran
+	ExitFailure  = 1 // the program failed while it ran
 	ExitUsage    = 2 // wrong flags
 	ExitSettings = 3 // the settings are invalid
-	ExitCut      = 4 // a shutdown ended before all requests were finished
+	ExitCut      = 4 // a shutdown ended with requests unfinished
 )
 
-// Flags are the flags of every daemon.
+// Flags holds the command-line flags of every daemon.
 type Flags struct {
 	Settings string
 	Check    bool
 }
 
-// ParseFlags reads the command line.
+// ParseFlags adds the flags of f to set and parses the command line. It exits with ExitUsage if
+// they are invalid.
 func ParseFlags(set *flag.FlagSet, f *Flags) {
 	set.StringVar(&f.Settings, "settings", "", "the TOML settings `file`")
 	set.BoolVar(&f.Check, "check", false, "check the settings and exit")
 	_ = set.Parse(os.Args[1:])
 	if f.Settings == "" {
-		fmt.Fprintln(os.Stderr, "-settings is needed")
+		fmt.Fprintln(os.Stderr, "-settings is required")
 		os.Exit(ExitUsage)
 	}
 }
 
-// Signals returns a context that ends at the first SIGTERM or SIGINT, and a
-// channel that is closed at the second.
+// Signals returns a context that is canceled at the first SIGTERM or SIGINT, and a channel that
+// is closed at the second.
 func Signals() (ctx context.Context, second <-chan struct{}) {
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, syscall.SIGTERM, syscall.SIGINT)
@@ -67,7 +68,8 @@
 	idleTimeout   = 120 * time.Second
 )
 
-// NewHTTPServer listens on addr and returns the server with its listener.
+// NewHTTPServer returns a server for h and a listener on addr, with TLS unless tlsConfig is
+// nil.
 func NewHTTPServer(addr string, h http.Handler, tlsConfig *tls.Config) (*http.Server, net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -79,12 +81,12 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}, ln, nil
 }
 
-// memoryShare of a process's memory goes to the Go heap: the rest holds stacks,
-// the runtime and bytes that the kernel has not handed over yet.
+// memoryShare is the part of a process's memory that the Go runtime may use: the rest is for
+// memory outside its limit, such as socket buffers.
 const memoryShare = 0.6
 
-// LimitMemory keeps the heap below a part of the memory that the process may
-// use, in MB; 0 sets no limit.
+// LimitMemory sets the Go runtime's soft memory limit to memoryShare of the memory that the
+// process may use, in MiB. With 0 it sets no limit.
 func LimitMemory(mb int) {
 	if mb > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(mb) * (1 << 20)))
@@ -107,14 +109,14 @@
 	}()
 }
 
-// DebugHandler serves the counters and histograms.
+// DebugHandler returns a handler that serves counters and histograms at /debug/vars.
 func DebugHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("/debug/vars", expvar.Handler())
 	return m
 }
 
-// Serve serves until ctx ends.
+// Serve serves requests until ctx ends, and then closes the server at once.
 func Serve(ctx context.Context, srv *http.Server, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// HostIP returns the IP of an address with a port, or nil.
+// HostIP returns the IP address of a host:port address, or nil if it has none.
 func HostIP(addr string) net.IP {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/daemon/readable.go
+++ b/internal/daemon/readable.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// readable reports whether a socket has something to read: bytes, the end of the stream, or
-// for a listener a connection that waits. It is false for what is no socket.
+// readable reports whether a read of a socket would return at once, with bytes or the end of
+// the stream, or whether a listener has a connection to accept. It is false for anything that
+// is not a socket.
 func readable(socket any) bool {
 	s, ok := socket.(syscall.Conn)
 	if !ok {
@@ -18,7 +19,7 @@
 		return false // closed
 	}
 	ready := false
-	_ = raw.Control(func(fd uintptr) { // it fails for a closed one only
+	_ = raw.Control(func(fd uintptr) { // fails only if the socket is closed
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		n, err := unix.Poll(p, 0)
 		ready = err == nil && n == 1
