--- a/internal/app/entry/entry_test.go
+++ b/internal/app/entry/entry_test.go
@@ -376,9 +376,9 @@
 	}}})
 }
 
-// TestResidencyIsCheckedBySenderAndReceiver changes the rules between the choice of a place and
+// TestResidencyIsAskedBySenderAndReceiver changes the rules between the choice of a place and
 // the forward, and sends a forward to a host whose rules forbid it.
-func TestResidencyIsCheckedBySenderAndReceiver(t *testing.T) {
+func TestResidencyIsAskedBySenderAndReceiver(t *testing.T) {
 	p := &recordingPeers{}
 	h := newTestHost(t, &fakeBackends{script: []attemptResult{{dialFails: true}}}, p)
 	addRemoteDomain(h)
@@ -406,7 +406,7 @@
 	}
 }
 
-func TestRequestNotPermittedInRegionIsRedirected(t *testing.T) {
+func TestRequestThatMayNotBeHereIsSentAway(t *testing.T) {
 	h := newTestHost(t, &fakeBackends{script: []attemptResult{{body: whole}}}, noPeers{})
 	addRemoteDomain(h)
 	r := chat(false)
@@ -420,7 +420,7 @@
 	}
 }
 
-func TestInstallRequiresNewerCompleteSignedConfig(t *testing.T) {
+func TestInstallRefusesWhatIsNotNewerWholeAndSigned(t *testing.T) {
 	h := newTestHost(t, &fakeBackends{}, noPeers{})
 	good := blob(2, testRecord())
 	for _, c := range []struct {
--- a/internal/app/entry/place.go
+++ b/internal/app/entry/place.go
@@ -12,9 +12,9 @@
 
 // ticket is the result for a request that waits for a place.
 type ticket struct {
-	done  chan struct{}
-	place *placement.Place
-	err   *failure.Error
+	done    chan struct{}
+	granted *placement.Place
+	err     *failure.Error
 }
 
 // job returns the description of the request for the placement.
@@ -74,8 +74,8 @@
 	if t.err != nil {
 		return nil, t.err
 	}
-	x.explain.addDecision(t.place.Decision)
-	return h.withPeerAddress(x, t.place), nil
+	x.explain.addDecision(t.granted.Decision)
+	return h.withPeerAddress(x, t.granted), nil
 }
 
 // withPeerAddress sets the peer address of a place at another entry host, and returns the
@@ -98,7 +98,7 @@
 	for _, g := range h.place.Grants(h.o.Clock.Now()) {
 		t := h.waiting[g.Waiter]
 		delete(h.waiting, g.Waiter)
-		t.place, t.err = g.Place, failure.As(g.Err, failure.NotRun)
+		t.granted, t.err = g.Place, failure.As(g.Err, failure.NotRun)
 		close(t.done)
 	}
 }
