--- a/internal/app/access/access_test.go
+++ b/internal/app/access/access_test.go
@@ -88,7 +88,7 @@
 
 func TestTake(t *testing.T) {
 	cases := map[string]struct {
-		known   []string // addresses with an issuer
+		issuers []string // addresses with an issuer
 		list    []string // control hosts in reach, the nearest first
 		refuses []string
 		code    failure.Code
@@ -102,7 +102,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newIssuers(c.known...)
+			f := newIssuers(c.issuers...)
 			for _, a := range c.refuses {
 				f.refuses[a] = true
 			}
--- a/internal/app/entry/entry_test.go
+++ b/internal/app/entry/entry_test.go
@@ -170,17 +170,17 @@
 }
 
 const (
-	whole   = `{"answer":1}`
-	event1  = "data: {\"t\":1}\n\n"
-	event2  = "data: {\"t\":2}\n\n"
-	doneEnd = "data: [DONE]\n\n"
+	completeAnswer = `{"answer":1}`
+	event1         = "data: {\"t\":1}\n\n"
+	event2         = "data: {\"t\":2}\n\n"
+	lastEvent      = "data: [DONE]\n\n"
 )
 
 // TestOutcomes checks the contract with callers for each point at which an attempt can fail,
 // for orders (not idempotent), chats and streams: the outcome that the caller receives, the
 // number of attempts and of executions, and what a resend with the same key receives.
 func TestOutcomes(t *testing.T) {
-	ok := attemptResult{body: whole}
+	ok := attemptResult{body: completeAnswer}
 	streamed := func(events ...string) attemptResult {
 		return attemptResult{stream: true, body: strings.Join(events, "")}
 	}
@@ -199,31 +199,31 @@
 		executed int
 		resend   failure.Outcome // outcome of a resend with the same key; "" if not tested
 	}{
-		{"order answered", func() *Request { return order("k") }, []attemptResult{ok}, failure.Done, whole, 1, 1, failure.Done},
-		{"order, first server not reached", func() *Request { return order("k") }, []attemptResult{{dialFails: true}, ok}, failure.Done, whole, 2, 1, failure.Done},
-		{"order, first server refuses", func() *Request { return order("k") }, []attemptResult{{refused: true}, ok}, failure.Done, whole, 2, 1, failure.Done},
+		{"order answered", func() *Request { return order("k") }, []attemptResult{ok}, failure.Done, completeAnswer, 1, 1, failure.Done},
+		{"order, first server not reached", func() *Request { return order("k") }, []attemptResult{{dialFails: true}, ok}, failure.Done, completeAnswer, 2, 1, failure.Done},
+		{"order, first server refuses", func() *Request { return order("k") }, []attemptResult{{refused: true}, ok}, failure.Done, completeAnswer, 2, 1, failure.Done},
 		{"order, none reached", func() *Request { return order("k") }, []attemptResult{{dialFails: true}}, failure.NotRun, "", 3, 0, failure.NotRun},
 		{"order, all refuse", func() *Request { return order("k") }, []attemptResult{{refused: true}}, failure.NotRun, "", 3, 0, failure.NotRun},
 		{"order sent, connection lost", func() *Request { return order("k") }, []attemptResult{{lost: true}, ok}, failure.Unknown, "", 1, 1, failure.Unknown},
 		{"order, answer breaks off", func() *Request { return order("k") }, []attemptResult{{body: "{", broken: true}, ok}, failure.Unknown, "", 1, 1, failure.Unknown},
-		{"chat answered", func() *Request { return chat(false) }, []attemptResult{ok}, failure.Done, whole, 1, 1, ""},
-		{"chat, connection lost", func() *Request { return chat(false) }, []attemptResult{{lost: true}, ok}, failure.Done, whole, 2, 2, ""},
-		{"chat, answer breaks off", func() *Request { return chat(false) }, []attemptResult{{body: "{", broken: true}, ok}, failure.Done, whole, 2, 2, ""},
+		{"chat answered", func() *Request { return chat(false) }, []attemptResult{ok}, failure.Done, completeAnswer, 1, 1, ""},
+		{"chat, connection lost", func() *Request { return chat(false) }, []attemptResult{{lost: true}, ok}, failure.Done, completeAnswer, 2, 2, ""},
+		{"chat, answer breaks off", func() *Request { return chat(false) }, []attemptResult{{body: "{", broken: true}, ok}, failure.Done, completeAnswer, 2, 2, ""},
 		{"chat, always lost", func() *Request { return chat(false) }, []attemptResult{{lost: true}}, failure.Unknown, "", 3, 3, ""},
 		{"chat lost, then refused", func() *Request { return chat(false) }, []attemptResult{{lost: true}, {refused: true}}, failure.Unknown, "", 3, 1, ""},
 		{"chat lost, then none reached", func() *Request { return chat(false) }, []attemptResult{{lost: true}, {dialFails: true}}, failure.Unknown, "", 3, 1, ""},
 		{"chat, none reached", func() *Request { return chat(false) }, []attemptResult{{dialFails: true}}, failure.NotRun, "", 3, 0, ""},
-		{"stream", func() *Request { return chat(true) }, []attemptResult{streamed(event1, event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 1, 1, ""},
-		{"stream breaks off, resumed", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), streamed(event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 2, 2, ""},
-		{"stream ends early, resumed", func() *Request { return chat(true) }, []attemptResult{streamed(event1), streamed(event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 2, 2, ""},
-		{"stream breaks inside an event", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1, "data: {\"t"), streamed(event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 2, 2, ""},
-		{"stream resumed after a refusal", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), {refused: true}, streamed(event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 3, 2, ""},
-		{"stream breaks off, next answers an error", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), {status: 404, body: whole}, streamed(event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 3, 3, ""},
-		{"stream breaks off, next answers no stream", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), ok, streamed(event2, doneEnd)}, failure.Done, event1 + event2 + doneEnd, 3, 3, ""},
-		{"error instead of a stream", func() *Request { return chat(true) }, []attemptResult{{status: 404, body: whole}}, failure.Done, whole, 1, 1, ""},
-		{"stream instead of one answer", func() *Request { return chat(false) }, []attemptResult{streamed(event1, doneEnd)}, failure.Done, event1 + doneEnd, 1, 1, ""},
+		{"stream", func() *Request { return chat(true) }, []attemptResult{streamed(event1, event2, lastEvent)}, failure.Done, event1 + event2 + lastEvent, 1, 1, ""},
+		{"stream breaks off, resumed", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), streamed(event2, lastEvent)}, failure.Done, event1 + event2 + lastEvent, 2, 2, ""},
+		{"stream ends early, resumed", func() *Request { return chat(true) }, []attemptResult{streamed(event1), streamed(event2, lastEvent)}, failure.Done, event1 + event2 + lastEvent, 2, 2, ""},
+		{"stream breaks inside an event", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1, "data: {\"t"), streamed(event2, lastEvent)}, failure.Done, event1 + event2 + lastEvent, 2, 2, ""},
+		{"stream resumed after a refusal", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), {refused: true}, streamed(event2, lastEvent)}, failure.Done, event1 + event2 + lastEvent, 3, 2, ""},
+		{"stream breaks off, next answers an error", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), {status: 404, body: completeAnswer}, streamed(event2, lastEvent)}, failure.Done, event1 + event2 + lastEvent, 3, 3, ""},
+		{"stream breaks off, next answers no stream", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), ok, streamed(event2, lastEvent)}, failure.Done, event1 + event2 + lastEvent, 3, 3, ""},
+		{"error instead of a stream", func() *Request { return chat(true) }, []attemptResult{{status: 404, body: completeAnswer}}, failure.Done, completeAnswer, 1, 1, ""},
+		{"stream instead of one answer", func() *Request { return chat(false) }, []attemptResult{streamed(event1, lastEvent)}, failure.Done, event1 + lastEvent, 1, 1, ""},
 		{"stream always breaks off", func() *Request { return chat(true) }, []attemptResult{brokenStream(event1), brokenStream(event2), brokenStream()}, failure.Unknown, event1 + event2, 3, 3, ""},
-		{"end of the stream sent twice", func() *Request { return chat(true) }, []attemptResult{streamed(event1, doneEnd, event2, doneEnd)}, failure.Done, event1 + doneEnd, 1, 1, ""},
+		{"end of the stream sent twice", func() *Request { return chat(true) }, []attemptResult{streamed(event1, lastEvent, event2, lastEvent)}, failure.Done, event1 + lastEvent, 1, 1, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := &fakeBackends{script: c.script}
@@ -264,7 +264,7 @@
 
 func TestResumeAsksForTheRest(t *testing.T) {
 	b := &fakeBackends{script: []attemptResult{
-		{stream: true, body: event1, broken: true}, {stream: true, body: event2 + doneEnd},
+		{stream: true, body: event1, broken: true}, {stream: true, body: event2 + lastEvent},
 	}}
 	h := newTestHost(t, b, noPeers{})
 	check(t, h.Execute(context.Background(), chat(true), &memorySink{}), failure.Done)
@@ -294,7 +294,7 @@
 }
 
 func TestKeyReusedForAnotherRequest(t *testing.T) {
-	b := &fakeBackends{script: []attemptResult{{body: whole}}}
+	b := &fakeBackends{script: []attemptResult{{body: completeAnswer}}}
 	h := newTestHost(t, b, noPeers{})
 	check(t, h.Execute(context.Background(), order("k"), &memorySink{}), failure.Done)
 	other := order("k")
@@ -306,7 +306,7 @@
 }
 
 func TestKeyWithoutIssueTimeIsTooOldAfterRestart(t *testing.T) {
-	b := &fakeBackends{script: []attemptResult{{body: whole}}}
+	b := &fakeBackends{script: []attemptResult{{body: completeAnswer}}}
 	h := newTestHost(t, b, noPeers{})
 	r := order("k")
 	r.IssuedMS = 0
@@ -319,7 +319,7 @@
 // TestGeneratedKeyIsNeverTooOld sends an order without a key to a host whose ledger's records
 // begin in the future.
 func TestGeneratedKeyIsNeverTooOld(t *testing.T) {
-	b := &fakeBackends{script: []attemptResult{{body: whole}}}
+	b := &fakeBackends{script: []attemptResult{{body: completeAnswer}}}
 	h := newTestHost(t, b, noPeers{}, func(o *Options) { o.Skew = time.Minute })
 	r := order("")
 	r.IssuedMS = 0
@@ -407,7 +407,7 @@
 }
 
 func TestRequestThatMayNotBeHereIsSentAway(t *testing.T) {
-	h := newTestHost(t, &fakeBackends{script: []attemptResult{{body: whole}}}, noPeers{})
+	h := newTestHost(t, &fakeBackends{script: []attemptResult{{body: completeAnswer}}}, noPeers{})
 	addRemoteDomain(h)
 	r := chat(false)
 	r.Team = "bound"
--- a/internal/app/entry/gossip.go
+++ b/internal/app/entry/gossip.go
@@ -46,16 +46,16 @@
 	defer h.mu.Unlock()
 	up.EngineLoad = float32(h.place.Table.OwnLoad(backend.KindEngine, now))
 	up.ServiceLoad = float32(h.place.Table.OwnLoad(backend.KindService, now))
-	for id, sp := range h.announcing {
+	for id, srv := range h.announcing {
 		s := h.place.Table.Get(id)
-		if s == nil || now.Sub(sp.at) > h.o.Lease {
+		if s == nil || now.Sub(srv.at) > h.o.Lease {
 			delete(h.announcing, id)
 			continue
 		}
-		if id := (announcementID{s.State.Incarnation, s.State.Sequence}); sp.lastSent != id {
-			sp.lastSent = id
-			st := withAge(s.State, now.Sub(sp.at))
-			st.Prefixes = sp.unsentPrefixes(s.State.Prefixes)
+		if id := (announcementID{s.State.Incarnation, s.State.Sequence}); srv.lastSent != id {
+			srv.lastSent = id
+			st := withAge(s.State, now.Sub(srv.at))
+			st.Prefixes = srv.unsentPrefixes(s.State.Prefixes)
 			up.Servers = append(up.Servers, st)
 		}
 	}
@@ -146,12 +146,12 @@
 	old := h.place.Table.Get(st.Id)
 	changed := old == nil || old.State.Leaving != st.Leaving || old.State.Incarnation != st.Incarnation
 	if h.place.Table.Merge(st, now) {
-		sp := h.announcing[st.Id]
-		if sp == nil {
-			sp = &announcingServer{}
-			h.announcing[st.Id] = sp
+		srv := h.announcing[st.Id]
+		if srv == nil {
+			srv = &announcingServer{}
+			h.announcing[st.Id] = srv
 		}
-		sp.at = now
+		srv.at = now
 	}
 	h.mu.Unlock()
 	if changed {
