--- a/internal/daemon/callers_unread_test.go
+++ b/internal/daemon/callers_unread_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestFinishAnswersWhatWasSent guards against requests that are lost in the sockets of a
-// stopping host. An overloaded host, 100 to 200 ms behind, was told to stop. When it stopped
+// stopping host. An overloaded host, 100 to 200 ms behind, was draining. When it stopped
 // taking requests, it closed each connection from which it had read nothing since the last
 // answer, although a request could be unread in the socket: the caller received neither an
 // answer nor a refusal, and the host logged nothing. The same holds for a connection that waits
