--- a/internal/app/access/access.go
+++ b/internal/app/access/access.go
@@ -157,7 +157,7 @@
 	units := t.Quota.Cost(tokens)
 	began := g.o.Clock.Now()
 	g.mu.Lock()
-	g.holder.Ask(t.Name, units, began)
+	g.holder.RecordDemand(t.Name, units, began)
 	if q := g.queues[t.Name]; q == nil || len(q.waiters) == 0 {
 		if c, ok := g.holder.Take(t.Name, units, began); ok {
 			g.mu.Unlock()
@@ -203,7 +203,7 @@
 	}
 	w := &waiter{units: units, done: make(chan struct{})}
 	q.waiters = append(q.waiters, w)
-	g.holder.Wait(t.Name, units)
+	g.holder.AddWaiting(t.Name, units)
 	if len(q.asked) == 0 && !g.askNext(q, 1, now) {
 		g.remove(t.Name, w)
 		return nil, g.quotaUnknown(t.Name)
@@ -299,7 +299,7 @@
 	for i, other := range q.waiters {
 		if other == w {
 			q.waiters = append(q.waiters[:i:i], q.waiters[i+1:]...)
-			g.holder.Wait(team, -w.units)
+			g.holder.AddWaiting(team, -w.units)
 		}
 	}
 	q.resetIfEmpty()
@@ -344,7 +344,7 @@
 	now := g.o.Clock.Now()
 	list := g.o.Issuers()
 	nearest := len(list) > 0 && list[0] == addr
-	ask := g.holder.Compose(addr, nearest, func(team string) bool { return g.queues[team].hasAsked(addr) }, now)
+	ask := g.holder.ComposeAsk(addr, nearest, func(team string) bool { return g.queues[team].hasAsked(addr) }, now)
 	if ask == nil {
 		return
 	}
@@ -376,7 +376,7 @@
 		}
 		return
 	}
-	g.holder.Granted(addr, ask, grant, sentAt)
+	g.holder.ApplyGrant(addr, ask, grant, sentAt)
 	for i, p := range ask.Parts {
 		g.chargeWaiters(p.Team, now)
 		if i < len(grant.Shares) && p.Needed > 0 {
--- a/internal/app/entry/crashes.go
+++ b/internal/app/entry/crashes.go
@@ -17,16 +17,16 @@
 
 // breakOf identifies the process of a place's server when the attempt begins, to be reported if
 // the attempt's connection breaks.
-func (h *Host) breakOf(p *placement.Place) quarantine.Break {
+func (h *Host) breakOf(p *placement.Place) quarantine.ConnectionBreak {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return quarantine.Break{Start: quarantine.Start{ID: p.ServerID, Born: int64(p.Server.State.Incarnation)}, Address: p.Address}
+	return quarantine.ConnectionBreak{Start: quarantine.ServerProcess{ID: p.ServerID, StartID: int64(p.Server.State.Incarnation)}, Address: p.Address}
 }
 
 // reportToCrashWatch reports to the crash watch how an attempt ended for its server. Only a
 // complete answer, and a connection that the server ended, are evidence about the server. A
 // caller that canceled, a deadline, a stall, and a server that was shutting down are not.
-func (h *Host) reportToCrashWatch(ctx context.Context, x *execution, b quarantine.Break, res result) {
+func (h *Host) reportToCrashWatch(ctx context.Context, x *execution, b quarantine.ConnectionBreak, res result) {
 	switch {
 	case res.point == retry.Answered:
 		h.o.Crashes.Served(x.fingerprint)
@@ -36,7 +36,7 @@
 	}
 	h.mu.Lock()
 	s := h.place.Table.Get(b.Start.ID)
-	left := s != nil && s.State.Leaving && int64(s.State.Incarnation) == b.Start.Born
+	left := s != nil && s.State.Leaving && int64(s.State.Incarnation) == b.Start.StartID
 	h.mu.Unlock()
 	if !left {
 		h.o.Crashes.Broken(b, quarantine.Evidence{Fingerprint: x.fingerprint, Team: x.r.Team, Service: x.r.Target})
@@ -48,11 +48,11 @@
 	if h.o.Crashes.Idle() {
 		return
 	}
-	var servers []quarantine.Sighting
+	var servers []quarantine.Announcement
 	h.mu.Lock()
 	for _, s := range h.place.Table.All() {
-		servers = append(servers, quarantine.Sighting{
-			Start: quarantine.Start{ID: s.State.Id, Born: int64(s.State.Incarnation)}, Address: s.State.Address, HeardAt: s.HeardAt,
+		servers = append(servers, quarantine.Announcement{
+			Start: quarantine.ServerProcess{ID: s.State.Id, StartID: int64(s.State.Incarnation)}, Address: s.State.Address, ReceivedAt: s.LastSeen,
 		})
 	}
 	h.mu.Unlock()
@@ -140,9 +140,9 @@
 	if p == nil {
 		return
 	}
-	wanted := quarantine.Own
+	wanted := quarantine.LocalChanges
 	if !p.sentAll {
-		wanted = quarantine.All
+		wanted = quarantine.AllRecords
 	}
 	records, next := h.o.Crashes.Since(p.sentRevision, maxCrashRecords, wanted)
 	if len(records) == 0 && !ask {
--- a/internal/app/entry/execute.go
+++ b/internal/app/entry/execute.go
@@ -113,7 +113,7 @@
 
 // result describes how an attempt ended.
 type result struct {
-	point     retry.Break
+	point     retry.Stage
 	err       *failure.Error
 	connected bool // the server or entry host did not fail, whatever the outcome
 }
@@ -142,7 +142,7 @@
 			return nil // the stream is complete, whatever happened after its last event
 		}
 		d := retry.Decide(retry.Attempt{
-			Break: res.point, Idempotent: x.r.Idempotent,
+			Stage: res.point, Idempotent: x.r.Idempotent,
 			Relayed: x.headSent || x.r.Resume > 0, Resumable: x.r.Stream,
 		}, h.mayRetry(ctx, x, res))
 		if d.Action == retry.Finish {
--- a/internal/app/entry/explain.go
+++ b/internal/app/entry/explain.go
@@ -31,8 +31,8 @@
 
 // ExplainDecision is one routing decision with the candidates.
 type ExplainDecision struct {
-	Chosen     string               `json:"chosen"`
-	Considered []routing.Considered `json:"considered"`
+	Chosen     string              `json:"chosen"`
+	Considered []routing.Candidate `json:"considered"`
 }
 
 // ExplainAttempt is one attempt at a backend server or another entry host.
--- a/internal/app/entry/gossip.go
+++ b/internal/app/entry/gossip.go
@@ -131,7 +131,7 @@
 		h.place.MergeSummary(s, now, false)
 	}
 	if m, ok := h.members.Get(from); ok && m.Draining != up.Draining {
-		h.members.Acked(from, m.Incarnation, up.Draining, now)
+		h.members.RecordContact(from, m.Incarnation, up.Draining, now)
 	}
 	h.mu.Unlock()
 	h.signal(h.dispatchNow)
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -195,7 +195,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), ledgerOpTimeout)
 	defer cancel()
-	f := h.ledger.drive(ctx, x.view, op, op.Follow(claim))
+	f := h.ledger.drive(ctx, x.view, op, op.StartAfterClaim(claim))
 	switch {
 	case f != nil:
 		h.o.Metrics.Add("ledger_unsettled", 1)
