--- a/internal/adapter/backendconn/backendconn.go
+++ b/internal/adapter/backendconn/backendconn.go
@@ -1,7 +1,8 @@
-// Package backendconn sends HTTP/1.1 requests to backend servers over kept
+// Package backendconn sends HTTP/1.1 requests to backend servers over persistent
 // connections. A request is written to exactly one connection and is never
-// repeated here; net/http's transport repeats some requests by itself when a kept
-// connection breaks, which would be a second run that nobody counts.
+// retried here. The transport of net/http retries some requests by itself when a
+// reused connection breaks, and the request could then run twice without being
+// counted as a retry.
 package backendconn
 
 import (
@@ -24,15 +25,15 @@
 
 // Options configures a Pool.
 type Options struct {
-	// DialTimeout bounds the set-up of a connection.
+	// DialTimeout limits the time to establish a connection.
 	DialTimeout time.Duration
-	// IdleFor is how long an idle connection is kept when the server states no
+	// IdleTimeout is how long an idle connection is kept when the server states no
 	// timeout.
-	IdleFor time.Duration
-	// MaxIdle bounds the idle connections to one address.
-	MaxIdle int
-	// Local is the address to dial from; nil for any.
-	Local net.IP
+	IdleTimeout time.Duration
+	// MaxIdlePerAddr is the maximum number of idle connections per address.
+	MaxIdlePerAddr int
+	// LocalIP is the source address of connections; nil for any.
+	LocalIP net.IP
 }
 
 // Pool holds idle connections by address.
@@ -47,17 +48,17 @@
 
 type conn struct {
 	net.Conn
-	addr  string
-	br    *bufio.Reader
-	until time.Time // not used again from here on
+	addr    string
+	br      *bufio.Reader
+	expires time.Time // not reused from this time on
 }
 
-// Error is a failed exchange.
+// Error describes a request without a response.
 type Error struct {
 	// Sent is set when any byte of the request may have reached the server.
 	Sent bool
-	// Connecting is set when no connection could be set up.
-	Connecting bool
+	// DialFailed is set when no connection could be established.
+	DialFailed bool
 	Cause      error
 }
 
@@ -67,46 +68,46 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// maxStray bounds the body of an answer to another request that is skipped.
-const maxStray = 1 << 20
+// maxSkippedBodyBytes limits the body of a skipped response to another request.
+const maxSkippedBodyBytes = 1 << 20
 
-// Do sends the request with its body and returns the answer's head. mine tells
-// whether an answer belongs to the request; others are skipped. The caller closes
-// the answer's body; one that was read to its end leaves the connection for the
-// next request. The exchange ends with ctx.
-func (p *Pool) Do(ctx context.Context, addr string, req *http.Request, body []byte, mine func(*http.Response) bool) (*http.Response, error) {
+// Do sends the request with its body and returns the response once its head has
+// arrived. matches reports whether a response belongs to the request; other
+// responses are skipped. The caller must close the response's body; after a body
+// read to its end, the connection is reused. Canceling ctx closes the connection.
+func (p *Pool) Do(ctx context.Context, addr string, req *http.Request, body []byte, matches func(*http.Response) bool) (*http.Response, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
-		return nil, &Error{Connecting: true, Cause: err}
+		return nil, &Error{DialFailed: true, Cause: err}
 	}
 	x := &exchange{p: p, c: c, written: make(chan struct{})}
-	x.stop = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
+	x.cancelClose = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 	go x.write(req, body)
-	resp, err := x.readHead(req, mine)
+	resp, err := x.readHead(req, matches)
 	if err != nil {
-		x.stop()
+		x.cancelClose()
 		_ = c.Conn.Close()
 		<-x.written
 		if ctx.Err() != nil {
 			err = context.Cause(ctx)
 		}
-		return nil, &Error{Sent: x.sent, Cause: err}
+		return nil, &Error{Sent: x.wroteAny, Cause: err}
 	}
-	resp.Body = &answerBody{x: x, resp: resp, body: resp.Body}
+	resp.Body = &responseBody{x: x, resp: resp, body: resp.Body}
 	return resp, nil
 }
 
-// exchange is one request with its answer on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
-	p       *Pool
-	c       *conn
-	stop    func() bool
-	written chan struct{} // closed when the write has ended
-	sent    bool          // set before written is closed
-	failed  error         // of the write
+	p           *Pool
+	c           *conn
+	cancelClose func() bool
+	written     chan struct{} // closed when the write of the request has ended
+	wroteAny    bool          // any byte of the request was written; set before written is closed
+	writeErr    error         // of the write; set before written is closed
 }
 
-// countingWriter tells whether any byte was taken by the connection.
+// countingWriter counts the bytes that the connection accepted.
 type countingWriter struct {
 	w io.Writer
 	n int
@@ -131,11 +132,11 @@
 	if err == nil {
 		err = bw.Flush()
 	}
-	x.sent, x.failed = cw.n > 0, err
+	x.wroteAny, x.writeErr = cw.n > 0, err
 }
 
-// readHead returns the head of the answer that belongs to the request.
-func (x *exchange) readHead(req *http.Request, mine func(*http.Response) bool) (*http.Response, error) {
+// readHead reads up to the head of the response that belongs to the request.
+func (x *exchange) readHead(req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(x.c.br, req)
 		if err != nil {
@@ -144,23 +145,23 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if mine(resp) {
+		if matches(resp) {
 			return resp, nil
 		}
-		// A late answer to an earlier request: the connection's next one may be ours.
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStray))
-		if err != nil || n == maxStray || resp.Close || !framed(resp) {
-			return nil, failure.New(failure.BackendLost, failure.Unknown, "the connection carried an answer to another request")
+		// A late response to an earlier request: the next one on the connection may match.
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBodyBytes))
+		if err != nil || n == maxSkippedBodyBytes || resp.Close || !selfDelimited(resp) {
+			return nil, failure.New(failure.BackendLost, failure.Unknown, "the connection carried a response to another request")
 		}
 	}
 }
 
-// framed reports whether the end of the answer's body does not depend on the
-// connection's end.
-func framed(r *http.Response) bool { return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 }
+// selfDelimited reports whether the body has a known length or is chunked, so that
+// its end does not depend on the end of the connection.
+func selfDelimited(r *http.Response) bool { return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 }
 
-// answerBody gives the connection back when the body was read to its end.
-type answerBody struct {
+// responseBody returns the connection to the pool once the body was read to its end.
+type responseBody struct {
 	x    *exchange
 	resp *http.Response
 	body io.ReadCloser
@@ -168,7 +169,7 @@
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	if err == io.EOF && !b.done {
 		b.finish(true)
@@ -179,40 +180,42 @@
 }
 
 // Close implements io.Closer.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	if !b.done {
 		b.finish(false)
 	}
 	return nil
 }
 
-func (b *answerBody) finish(whole bool) {
+func (b *responseBody) finish(complete bool) {
 	b.done = true
 	x := b.x
-	if !x.stop() || !whole || b.resp.Close || !framed(b.resp) || x.c.br.Buffered() > 0 {
+	if !x.cancelClose() || !complete || b.resp.Close || !selfDelimited(b.resp) || x.c.br.Buffered() > 0 {
 		_ = x.c.Conn.Close()
 		return
 	}
 	select {
 	case <-x.written:
-		x.keep(b.resp)
+		x.release(b.resp)
 	default:
-		// The answer came before the last byte was written. It mostly is by now;
-		// a server that answers early may also never read the rest.
-		_ = x.c.Conn.SetWriteDeadline(time.Now().Add(lateWrite))
+		// The response arrived before the end of the write was observed. Usually the
+		// write has ended by now, but a server that responds early may never read the
+		// rest of the request.
+		_ = x.c.Conn.SetWriteDeadline(time.Now().Add(lateWriteTimeout))
 		go func() {
 			<-x.written
-			x.keep(b.resp)
+			x.release(b.resp)
 		}()
 	}
 }
 
-// lateWrite bounds the rest of a request's write once its answer is whole.
-const lateWrite = time.Second
+// lateWriteTimeout limits the rest of a request's write after its response is complete.
+const lateWriteTimeout = time.Second
 
-// keep gives the connection back when the request was written whole.
-func (x *exchange) keep(resp *http.Response) {
-	if x.failed != nil {
+// release returns the connection to the pool if the whole request was written, and
+// closes it otherwise.
+func (x *exchange) release(resp *http.Response) {
+	if x.writeErr != nil {
 		_ = x.c.Conn.Close()
 		return
 	}
@@ -226,14 +229,14 @@
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.until) && c.quiet() {
+		if time.Now().Before(c.expires) && c.reusable() {
 			return c, nil
 		}
 		_ = c.Conn.Close()
 	}
 	d := net.Dialer{Timeout: p.o.DialTimeout}
-	if p.o.Local != nil {
-		d.LocalAddr = &net.TCPAddr{IP: p.o.Local}
+	if p.o.LocalIP != nil {
+		d.LocalAddr = &net.TCPAddr{IP: p.o.LocalIP}
 	}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -254,9 +257,10 @@
 	return c
 }
 
-// quiet reports whether the idle connection is open and has no bytes to read: a
-// close, or an answer that nobody asked for, shows before the next request is sent.
-func (c *conn) quiet() bool {
+// reusable reports whether the idle connection is open and has no bytes to read. It
+// detects a close by the server, or an unsolicited response, before the next request
+// is sent.
+func (c *conn) reusable() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -274,27 +278,29 @@
 	return err == nil && open
 }
 
-// put keeps the connection for the next request, for less than the server's
-// stated timeout.
+// put adds the connection to the pool. It expires before the timeout that the server
+// stated in the response.
 func (p *Pool) put(c *conn, resp *http.Response) {
-	keep := p.o.IdleFor
-	if s := statedTimeout(resp.Header.Get("Keep-Alive")); s > 0 {
-		// The server counts from its last byte, this host from its arrival.
-		keep = min(keep, s*3/4)
+	idleTimeout := p.o.IdleTimeout
+	if s := keepAliveTimeout(resp.Header.Get("Keep-Alive")); s > 0 {
+		// The server's timeout runs from when it sent its last byte, which is before
+		// this host received it.
+		idleTimeout = min(idleTimeout, s*3/4)
 	}
-	c.until = time.Now().Add(keep)
+	c.expires = time.Now().Add(idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.addr]
-	if len(list) >= p.o.MaxIdle {
+	if len(list) >= p.o.MaxIdlePerAddr {
 		_ = c.Conn.Close()
 		return
 	}
 	p.idle[c.addr] = append(list, c)
 }
 
-// statedTimeout reads "timeout=N" of a Keep-Alive header.
-func statedTimeout(value string) time.Duration {
+// keepAliveTimeout returns the "timeout=N" parameter of a Keep-Alive header, or 0 without
+// a valid one.
+func keepAliveTimeout(value string) time.Duration {
 	for _, f := range strings.Split(value, ",") {
 		if n, ok := strings.CutPrefix(strings.TrimSpace(f), "timeout="); ok {
 			s, err := strconv.Atoi(n)
@@ -307,15 +313,15 @@
 	return 0
 }
 
-// Sweep closes the idle connections that are past their time.
-func (p *Pool) Sweep() {
+// CloseExpired closes the idle connections that have expired.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.expires) {
 				kept = append(kept, c)
 				continue
 			}
--- a/internal/adapter/backendconn/backendconn_test.go
+++ b/internal/adapter/backendconn/backendconn_test.go
@@ -16,14 +16,15 @@
 	"time"
 )
 
-// server answers each connection by a script and counts what it read.
+// server is a scripted TCP server that counts connections and complete requests.
 type server struct {
 	ln       net.Listener
 	conns    atomic.Int32
 	requests atomic.Int32
 }
 
-// serve runs handle for each connection; n is its number, from 1.
+// serve starts a server that runs handle for each connection; n is the connection's number,
+// from 1.
 func serve(t *testing.T, handle func(s *server, n int, c net.Conn, r *bufio.Reader)) *server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +49,7 @@
 	return s
 }
 
-// read reads a whole request and returns its ID; "" when there is none.
+// read reads a complete request and returns its ID, or "" on error.
 func (s *server) read(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -64,13 +65,13 @@
 func write(c net.Conn, format string, args ...any) { _, _ = fmt.Fprintf(c, format, args...) }
 
 func newPool(t *testing.T) *Pool {
-	p := New(Options{DialTimeout: 5 * time.Second, IdleFor: time.Minute, MaxIdle: 4})
+	p := New(Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxIdlePerAddr: 4})
 	t.Cleanup(p.Close)
 	return p
 }
 
-// exchangeOne sends a request and reads the whole answer.
-func exchangeOne(p *Pool, s *server, id string, body []byte) (string, error) {
+// roundTrip sends a request and returns the body of the response.
+func roundTrip(p *Pool, s *server, id string, body []byte) (string, error) {
 	u := &url.URL{Opaque: "/x"}
 	req := &http.Request{Method: http.MethodPost, URL: u, Host: "h", Header: http.Header{"Id": {id}}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
 	resp, err := p.Do(context.Background(), s.ln.Addr().String(), req, body, func(r *http.Response) bool { return r.Header.Get("Id") == id })
@@ -82,28 +83,28 @@
 	return string(data), err
 }
 
-const okFor = "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nok"
+const okResponseFormat = "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nok"
 
-// holds reports whether an idle connection to the address is kept.
-func (p *Pool) holds(addr string) bool {
+// hasIdle reports whether the pool has an idle connection to the address.
+func (p *Pool) hasIdle(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[addr]) > 0
 }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	s := serve(t, func(s *server, _ int, c net.Conn, r *bufio.Reader) {
 		for id := s.read(r); id != ""; id = s.read(r) {
-			write(c, okFor, id)
+			write(c, okResponseFormat, id)
 		}
 	})
 	p := newPool(t)
 	for i := range 5 {
-		if got, err := exchangeOne(p, s, fmt.Sprint("r", i), []byte("body")); got != "ok" || err != nil {
+		if got, err := roundTrip(p, s, fmt.Sprint("r", i), []byte("body")); got != "ok" || err != nil {
 			t.Fatal(got, err)
 		}
-		for !p.holds(s.ln.Addr().String()) {
-			runtime.Gosched() // the end of the write may be noticed after the answer
+		for !p.hasIdle(s.ln.Addr().String()) {
+			runtime.Gosched() // the end of the write may be observed after the response
 		}
 	}
 	if n := s.conns.Load(); n != 1 {
@@ -111,36 +112,36 @@
 	}
 }
 
-// TestRequestIsSentOnce breaks a kept connection at every point of an exchange:
-// the request is never sent a second time by itself.
+// TestRequestIsSentOnce breaks a reused connection at each stage of the response, and
+// checks that the request is not sent again.
 func TestRequestIsSentOnce(t *testing.T) {
 	for name, end := range map[string]func(c net.Conn, id string){
-		"closed without an answer": func(net.Conn, string) {},
-		"closed within the head":   func(c net.Conn, id string) { write(c, "HTTP/1.1 200 OK\r\nId: %s", id) },
-		"closed within the body":   func(c net.Conn, id string) { write(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 9\r\n\r\nok", id) },
+		"closed before the head": func(net.Conn, string) {},
+		"closed within the head": func(c net.Conn, id string) { write(c, "HTTP/1.1 200 OK\r\nId: %s", id) },
+		"closed within the body": func(c net.Conn, id string) { write(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 9\r\n\r\nok", id) },
 		"closed within a chunk": func(c net.Conn, id string) {
 			write(c, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", id)
 		},
-		"no answer in the protocol":  func(c net.Conn, _ string) { write(c, "\x00\x01garbage\r\n\r\n") },
-		"answer to another, then no": func(c net.Conn, _ string) { write(c, okFor, "other") },
+		"not HTTP":                   func(c net.Conn, _ string) { write(c, "\x00\x01garbage\r\n\r\n") },
+		"other response, then close": func(c net.Conn, _ string) { write(c, okResponseFormat, "other") },
 	} {
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
 			t.Run(name+" "+method, func(t *testing.T) {
 				s := serve(t, func(s *server, _ int, c net.Conn, r *bufio.Reader) {
-					write(c, okFor, s.read(r))
+					write(c, okResponseFormat, s.read(r))
 					end(c, s.read(r))
 				})
 				p := newPool(t)
-				if _, err := exchangeOne(p, s, "first", nil); err != nil {
+				if _, err := roundTrip(p, s, "first", nil); err != nil {
 					t.Fatal(err)
 				}
-				for !p.holds(s.ln.Addr().String()) {
+				for !p.hasIdle(s.ln.Addr().String()) {
 					runtime.Gosched()
 				}
-				if got, err := exchangeOne(p, s, "second", nil); err == nil {
+				if got, err := roundTrip(p, s, "second", nil); err == nil {
 					t.Errorf("succeeded with %q", got)
 				} else if e := new(Error); errors.As(err, &e) && !e.Sent {
-					t.Errorf("a request that was sent is reported as not sent: %v", err)
+					t.Errorf("a sent request is reported as not sent: %v", err)
 				}
 				if n := s.requests.Load(); n != 2 {
 					t.Errorf("%d requests arrived, want 2", n)
@@ -150,41 +151,41 @@
 	}
 }
 
-// TestAnswersToOthersAreSkipped lets a late answer to an earlier request arrive
-// where the next one's is expected.
-func TestAnswersToOthersAreSkipped(t *testing.T) {
+// TestResponsesToOtherRequestsAreSkipped sends a second response to an earlier request
+// before the response to the current one.
+func TestResponsesToOtherRequestsAreSkipped(t *testing.T) {
 	s := serve(t, func(s *server, _ int, c net.Conn, r *bufio.Reader) {
-		write(c, okFor, s.read(r))
+		write(c, okResponseFormat, s.read(r))
 		id := s.read(r)
-		write(c, "HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 5\r\n\r\nextra"+okFor, id)
+		write(c, "HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 5\r\n\r\nextra"+okResponseFormat, id)
 	})
 	p := newPool(t)
 	for _, id := range []string{"first", "second"} {
-		if got, err := exchangeOne(p, s, id, nil); got != "ok" || err != nil {
+		if got, err := roundTrip(p, s, id, nil); got != "ok" || err != nil {
 			t.Errorf("%s: %q, %v", id, got, err)
 		}
-		for id == "first" && !p.holds(s.ln.Addr().String()) {
+		for id == "first" && !p.hasIdle(s.ln.Addr().String()) {
 			runtime.Gosched()
 		}
 	}
 }
 
-// TestIdleConnectionsThatAreNotUsedAgain checks that a connection which was
-// closed, or has bytes that nobody asked for, is not given a request.
-func TestIdleConnectionsThatAreNotUsedAgain(t *testing.T) {
+// TestUnusableIdleConnections checks that an idle connection is not reused when the server
+// has closed it, has sent unsolicited bytes, or has announced the close.
+func TestUnusableIdleConnections(t *testing.T) {
 	for name, after := range map[string]func(c net.Conn){
-		"closed":          func(c net.Conn) { _ = c.Close() },
-		"unasked answer":  func(c net.Conn) { write(c, okFor, "first") },
-		"says that it is": func(net.Conn) {},
+		"closed":               func(c net.Conn) { _ = c.Close() },
+		"unsolicited response": func(c net.Conn) { write(c, okResponseFormat, "first") },
+		"Connection: close":    func(net.Conn) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			kept, done := make(chan struct{}), make(chan struct{}, 4)
 			s := serve(t, func(s *server, _ int, c net.Conn, r *bufio.Reader) {
 				id := s.read(r)
-				if strings.HasPrefix(name, "says") {
+				if strings.HasPrefix(name, "Connection") {
 					write(c, "HTTP/1.1 200 OK\r\nId: %s\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", id)
 				} else {
-					write(c, okFor, id)
+					write(c, okResponseFormat, id)
 				}
 				if s.requests.Load() == 1 {
 					<-kept
@@ -194,27 +195,27 @@
 				s.read(r)
 			})
 			p := newPool(t)
-			if _, err := exchangeOne(p, s, "first", nil); err != nil {
+			if _, err := roundTrip(p, s, "first", nil); err != nil {
 				t.Fatal(err)
 			}
-			for !strings.HasPrefix(name, "says") && !p.holds(s.ln.Addr().String()) {
+			for !strings.HasPrefix(name, "Connection") && !p.hasIdle(s.ln.Addr().String()) {
 				runtime.Gosched()
 			}
-			close(kept) // only now does the server spoil the idle connection
+			close(kept) // the server acts only once the connection is idle
 			<-done
-			// What the server did reaches this end within the loopback's delay; the
-			// check is asked until it shows.
+			// The close or the bytes take a moment to arrive over the loopback interface,
+			// so repeat the check until they do.
 			p.mu.Lock()
 			idle := append([]*conn(nil), p.idle[s.ln.Addr().String()]...)
 			p.mu.Unlock()
 			for _, c := range idle {
-				for c.quiet() {
-					if name == "says that it is" {
-						t.Fatal("kept a connection that the server closes")
+				for c.reusable() {
+					if name == "Connection: close" {
+						t.Fatal("kept a connection with Connection: close")
 					}
 				}
 			}
-			if got, err := exchangeOne(p, s, "second", nil); got != "ok" || err != nil {
+			if got, err := roundTrip(p, s, "second", nil); got != "ok" || err != nil {
 				t.Errorf("%q, %v", got, err)
 			}
 			if n := s.conns.Load(); n != 2 {
@@ -224,45 +225,45 @@
 	}
 }
 
-// TestEarlyAnswer lets the server answer before it has read a long body. The rest
-// of the body must not become the next request's bytes.
-func TestEarlyAnswer(t *testing.T) {
+// TestEarlyResponse has the server respond before it reads a long body. The connection must
+// not be reused: the rest of the body would be read as the next request.
+func TestEarlyResponse(t *testing.T) {
 	release := make(chan struct{})
 	s := serve(t, func(s *server, n int, c net.Conn, r *bufio.Reader) {
 		if n == 1 {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			write(c, okFor, "first")
+			write(c, okResponseFormat, "first")
 			<-release
 			return
 		}
-		write(c, okFor, s.read(r))
+		write(c, okResponseFormat, s.read(r))
 	})
 	p := newPool(t)
-	body := []byte(strings.Repeat("x", 16<<20)) // more than the buffers on the way take
-	if got, err := exchangeOne(p, s, "first", body); got != "ok" || err != nil {
+	body := []byte(strings.Repeat("x", 16<<20)) // more than the socket buffers hold
+	if got, err := roundTrip(p, s, "first", body); got != "ok" || err != nil {
 		t.Fatal(got, err)
 	}
-	if got, err := exchangeOne(p, s, "second", nil); got != "ok" || err != nil {
+	if got, err := roundTrip(p, s, "second", nil); got != "ok" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 	close(release)
 	if n := s.conns.Load(); n != 2 {
-		t.Errorf("%d connections: the one with half a body was used again", n)
+		t.Errorf("%d connections: the one with an incomplete request was reused", n)
 	}
 }
 
-func TestNoConnection(t *testing.T) {
+func TestDialFailure(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr()
 	_ = ln.Close()
-	_, err = exchangeOne(newPool(t), &server{ln: fixedAddr{ln, addr}}, "r", nil)
+	_, err = roundTrip(newPool(t), &server{ln: fixedAddr{ln, addr}}, "r", nil)
 	var e *Error
-	if !errors.As(err, &e) || e.Sent || !e.Connecting {
+	if !errors.As(err, &e) || e.Sent || !e.DialFailed {
 		t.Errorf("got %v", err)
 	}
 }
@@ -274,7 +275,7 @@
 
 func (f fixedAddr) Addr() net.Addr { return f.addr }
 
-// TestCanceled ends the exchange with its context.
+// TestCanceled checks that canceling the context closes the connection.
 func TestCanceled(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(s *server, _ int, c net.Conn, r *bufio.Reader) {
