--- a/internal/adapter/backendhttp/backendhttp.go
+++ b/internal/adapter/backendhttp/backendhttp.go
@@ -1,4 +1,5 @@
-// Package backendhttp takes the announcements and cache events of backend servers.
+// Package backendhttp serves the HTTP interface for backend servers: announcements and
+// cache events.
 package backendhttp
 
 import (
@@ -18,13 +19,13 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Bounds of an announcement.
+// Limits on requests of backend servers.
 const (
-	maxBody     = 256 << 10
-	maxModels   = 256
-	maxPrefixes = 256
-	maxIDLength = 128
-	maxSlots    = 100_000
+	maxBodyBytes = 256 << 10
+	maxModels    = 256
+	maxPrefixes  = 256
+	maxIDBytes   = 128
+	maxSlots     = 100_000
 )
 
 // Announcement is the body of a backend server's announcement.
@@ -33,41 +34,42 @@
 	Address string `json:"address"`
 	// Kind is "engine" or "service".
 	Kind string `json:"kind"`
-	// Models names the models, or the services, that it serves.
+	// Models names the models or services that the server serves.
 	Models   []string `json:"models"`
 	Adapters []string `json:"adapters,omitempty"`
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots uint32 `json:"slots"`
-	// Running, Queued and QueuedTokens are its load; they may lag.
+	// Running, Queued and QueuedTokens are the server's load; they may be outdated.
 	Running      uint32 `json:"running"`
 	Queued       uint32 `json:"queued"`
 	QueuedTokens uint64 `json:"queued_tokens,omitempty"`
-	// Incarnation rises with each start, Sequence with each announcement.
+	// Incarnation increases with each start of the server, Sequence with each announcement.
 	Incarnation uint64 `json:"incarnation"`
 	Sequence    uint64 `json:"sequence"`
-	// Leaving ends new work for the server.
+	// Leaving is set when the server accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
-	// Prefixes are hashes of the hottest cached prompt prefixes.
+	// Prefixes are hashes of the most used cached prompt prefixes.
 	Prefixes []uint64 `json:"prefixes,omitempty"`
-	// PrefillRate is in prompt tokens per second, DecodeMS in ms per token.
+	// PrefillRate is in prompt tokens per second, DecodeMS in ms per output token.
 	PrefillRate uint32 `json:"prefill_rate,omitempty"`
 	DecodeMS    uint32 `json:"decode_ms,omitempty"`
 }
 
-// Reply answers an announcement.
+// Reply is the response to an announcement.
 type Reply struct {
 	LeaseMS    int64    `json:"lease_ms"`
 	AnnounceTo []string `json:"announce_to"`
 }
 
-// CacheEvents is a batch of cache events. Batches are numbered without gaps.
+// CacheEvents is a batch of cache events. Sequence increases by one with each batch.
 type CacheEvents struct {
 	Sequence uint64   `json:"sequence"`
 	Added    []uint64 `json:"added"`
 	Evicted  []uint64 `json:"evicted"`
 }
 
-// CacheReply tells whether a gap was seen, so that the view was reset.
+// CacheReply reports whether the sequence numbers had a gap. If so, the recorded cache contents
+// were reset.
 type CacheReply struct {
 	Gap bool `json:"gap"`
 }
@@ -83,6 +85,7 @@
 	router.HandleFunc("/v1/backend-servers/{id}/cache-events", h.cacheEvents).Methods(http.MethodPost)
 }
 
+// authenticate checks the request's key against the configured keys of backend servers.
 func (h *handler) authenticate(r *http.Request) *failure.Error {
 	record := h.host.Record()
 	if record == nil {
@@ -90,18 +93,19 @@
 	}
 	hash, ok := operatorhttp.BearerHash(r)
 	if !ok || !slices.Contains(record.BackendKeyHashes, hash) {
-		return failure.New(failure.Unauthorized, "", "a backend server's key is needed")
+		return failure.New(failure.Unauthorized, "", "a valid backend server key is required")
 	}
 	return nil
 }
 
-func decode(r *http.Request, v any) *failure.Error {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
+// decodeJSON decodes the request's body of at most maxBodyBytes into v.
+func decodeJSON(r *http.Request, v any) *failure.Error {
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil {
 		return failure.Wrap(err, failure.BadRequest, "")
 	}
-	if len(data) > maxBody {
-		return failure.New(failure.BodyTooLarge, "", "the body is over %d bytes", maxBody)
+	if len(data) > maxBodyBytes {
+		return failure.New(failure.BodyTooLarge, "", "the body is over %d bytes", maxBodyBytes)
 	}
 	if err := json.Unmarshal(data, v); err != nil {
 		return failure.Wrap(err, failure.BadRequest, "")
@@ -109,11 +113,11 @@
 	return nil
 }
 
-// ParseAnnouncement checks an announcement.
+// ParseAnnouncement validates an announcement and converts it to a peer message.
 func ParseAnnouncement(id string, a Announcement) (*pb.BackendState, *failure.Error) {
 	switch {
-	case id == "" || len(id) > maxIDLength:
-		return nil, failure.New(failure.BadRequest, "", "the ID is empty or over %d bytes", maxIDLength)
+	case id == "" || len(id) > maxIDBytes:
+		return nil, failure.New(failure.BadRequest, "", "the ID is empty or over %d bytes", maxIDBytes)
 	case a.Kind != backend.KindEngine && a.Kind != backend.KindService:
 		return nil, failure.New(failure.BadRequest, "", "kind: %q is not engine or service", a.Kind)
 	case len(a.Models) == 0 || len(a.Models) > maxModels:
@@ -137,7 +141,7 @@
 	f := h.authenticate(r)
 	var a Announcement
 	if f == nil {
-		f = decode(r, &a)
+		f = decodeJSON(r, &a)
 	}
 	var st *pb.BackendState
 	if f == nil {
@@ -156,7 +160,7 @@
 	f := h.authenticate(r)
 	var e CacheEvents
 	if f == nil {
-		f = decode(r, &e)
+		f = decodeJSON(r, &e)
 	}
 	if f != nil {
 		problem.Write(w, f, "")
@@ -164,7 +168,7 @@
 	}
 	gap, known := h.host.CacheEvents(mux.Vars(r)["id"], e.Sequence, e.Added, e.Evicted)
 	if !known {
-		problem.Write(w, failure.New(failure.NotFound, "", "the server has not announced itself here"), "")
+		problem.Write(w, failure.New(failure.NotFound, "", "this entry host has received no announcement of the server"), "")
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/adapter/callerhttp/body.go
+++ b/internal/adapter/callerhttp/body.go
@@ -13,8 +13,8 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// readBody reads the whole body within the limits, before anything of the
-// request is passed on.
+// readBody reads the whole body within the limits. The request is not forwarded
+// before its body is complete.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *failure.Error) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(h.limits.BodyTimeout))
@@ -26,6 +26,7 @@
 	return body, nil
 }
 
+// bodyFailure returns the failure for an error of reading the body.
 func bodyFailure(err error, l Limits) *failure.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -35,16 +36,16 @@
 	if errors.As(err, &ne) && ne.Timeout() {
 		return failure.New(failure.SlowBody, failure.NotRun, "the body did not arrive within %s", l.BodyTimeout)
 	}
-	return failure.New(failure.BadRequest, failure.NotRun, "the body broke off: %s", err)
+	return failure.New(failure.BadRequest, failure.NotRun, "reading the body failed: %s", err)
 }
 
-// sink writes an answer to the caller.
+// sink implements entry.Sink on the response to the caller.
 type sink struct {
-	w      http.ResponseWriter
-	rc     *http.ResponseController
-	stream bool
-	headed bool
-	status int
+	w        http.ResponseWriter
+	rc       *http.ResponseController
+	stream   bool
+	headSent bool
+	status   int
 }
 
 // Head implements entry.Sink.
@@ -57,7 +58,7 @@
 	if hd.Server != "" {
 		header.Set(HeaderServer, hd.Server)
 	}
-	s.headed, s.status = true, hd.Status
+	s.headSent, s.status = true, hd.Status
 	if s.stream {
 		header.Set("Trailer", HeaderOutcome)
 		s.w.WriteHeader(hd.Status)
@@ -81,9 +82,9 @@
 	return errors.Trace(err)
 }
 
-// finish sets the outcome that follows a stream.
-func (s *sink) finish(outcome failure.Outcome) {
-	if s.stream && s.headed {
+// setOutcome sets the outcome trailer of a stream.
+func (s *sink) setOutcome(outcome failure.Outcome) {
+	if s.stream && s.headSent {
 		s.w.Header().Set(HeaderOutcome, string(outcome))
 	}
 }
--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -1,6 +1,6 @@
-// Package callerhttp serves the HTTP of sesame-entry: callers, and operators
-// who ask why a request went where it went. Backend servers' announcements are
-// in package backendhttp, mounted beside it.
+// Package callerhttp serves the HTTP interface of sesame-entry for callers, and for
+// operators who look up how a request was routed. Package backendhttp serves the
+// interface for backend servers on the same router.
 package callerhttp
 
 import (
@@ -31,26 +31,26 @@
 
 // Request and response headers of the callers' interface.
 const (
-	HeaderKey       = "Idempotency-Key"
-	HeaderIssued    = "Sesame-Key-Issued-Ms"
-	HeaderKind      = "Sesame-Kind"
-	HeaderPriority  = "Sesame-Priority"
-	HeaderDeadline  = "Sesame-Deadline-Ms"
-	HeaderRequestID = "Sesame-Request-Id"
-	HeaderOutcome   = "Sesame-Outcome"
-	HeaderRegion    = "Sesame-Region"
-	HeaderServer    = "Sesame-Server"
-	HeaderVersion   = "Sesame-Config-Version"
-	HeaderEntry     = "Sesame-Entry-Host"
+	HeaderKey           = "Idempotency-Key"
+	HeaderIssued        = "Sesame-Key-Issued-Ms"
+	HeaderKind          = "Sesame-Kind"
+	HeaderPriority      = "Sesame-Priority"
+	HeaderDeadline      = "Sesame-Deadline-Ms"
+	HeaderRequestID     = "Sesame-Request-Id"
+	HeaderOutcome       = "Sesame-Outcome"
+	HeaderRegion        = "Sesame-Region"
+	HeaderServer        = "Sesame-Server"
+	HeaderConfigVersion = "Sesame-Config-Version"
+	HeaderEntryHost     = "Sesame-Entry-Host"
 )
 
-// Limits bounds what callers may send.
+// Limits holds the limits on request bodies.
 type Limits struct {
 	MaxBody     int64
 	BodyTimeout time.Duration
 }
 
-// Handler serves one entry host.
+// Handler holds the HTTP handlers of one entry host.
 type Handler struct {
 	host   *entry.Host
 	limits Limits
@@ -84,17 +84,18 @@
 	router.HandleFunc("/v1/drain", h.drain).Methods(http.MethodPost, http.MethodDelete)
 }
 
-// profile serves a processor profile of the process.
+// profile serves a CPU profile of the process.
 func (h *Handler) profile(w http.ResponseWriter, r *http.Request) {
-	if f := h.operator(r); f != nil {
+	if f := h.authenticateOperator(r); f != nil {
 		problem.Write(w, f, "")
 		return
 	}
 	pprof.Profile(w, r)
 }
 
-// InForce is the configuration in force on one entry host. After the loss of
-// all control disks the highest one found is what a new generation begins with.
+// InForce is the configuration in force on one entry host. After the loss of all
+// control disks, a new generation starts from the latest one found on any entry
+// host.
 type InForce struct {
 	Generation uint64          `json:"generation"`
 	Version    uint64          `json:"version"`
@@ -102,7 +103,7 @@
 }
 
 func (h *Handler) config(w http.ResponseWriter, r *http.Request) {
-	if f := h.operator(r); f != nil {
+	if f := h.authenticateOperator(r); f != nil {
 		problem.Write(w, f, "")
 		return
 	}
@@ -110,10 +111,10 @@
 	writeJSON(w, InForce{stamp.Generation, stamp.Version, raw})
 }
 
-// drain takes the host out of the lists (POST) or back in (DELETE). The process
-// goes on; SIGTERM drains and ends it.
+// drain removes the host from the lists of entry hosts (POST) or returns it to them
+// (DELETE). The process keeps running; SIGTERM drains and stops it.
 func (h *Handler) drain(w http.ResponseWriter, r *http.Request) {
-	if f := h.operator(r); f != nil {
+	if f := h.authenticateOperator(r); f != nil {
 		problem.Write(w, f, "")
 		return
 	}
@@ -129,19 +130,21 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (h *Handler) team(r *http.Request) (*configstate.Team, *failure.Error) {
-	c := access.Credential{Fault: "a key is needed: Authorization: Bearer <key>"}
+// authenticateTeam returns the team that the request's key belongs to.
+func (h *Handler) authenticateTeam(r *http.Request) (*configstate.Team, *failure.Error) {
+	c := access.Credential{Fault: "a key is required: Authorization: Bearer <key>"}
 	c.Hash, _ = operatorhttp.BearerHash(r)
 	return h.host.Team(r.Context(), c)
 }
 
-// EntryHosts is the answer of GET /v1/entry-hosts.
+// EntryHosts is the response to GET /v1/entry-hosts. Hosts lists the preferred host
+// first.
 type EntryHosts struct {
 	TTLMS int64       `json:"ttl_ms"`
 	Hosts []EntryHost `json:"entry_hosts"`
 }
 
-// EntryHost is one host that a caller may use, best first.
+// EntryHost is one host that a caller may use.
 type EntryHost struct {
 	ID            string `json:"id"`
 	URL           string `json:"url"`
@@ -149,11 +152,11 @@
 	FailureDomain string `json:"failure_domain"`
 }
 
-// entryHostsTTL is how long a caller may use the list.
+// entryHostsTTL is how long a caller may cache the list.
 const entryHostsTTL = 5 * time.Second
 
 func (h *Handler) entryHosts(w http.ResponseWriter, r *http.Request) {
-	t, f := h.team(r)
+	t, f := h.authenticateTeam(r)
 	if f != nil {
 		problem.Write(w, f, "")
 		return
@@ -182,7 +185,7 @@
 }
 
 func (h *Handler) models(w http.ResponseWriter, r *http.Request) {
-	t, f := h.team(r)
+	t, f := h.authenticateTeam(r)
 	if f != nil {
 		problem.Write(w, f, "")
 		return
@@ -199,20 +202,21 @@
 }
 
 func (h *Handler) explain(w http.ResponseWriter, r *http.Request) {
-	if f := h.operator(r); f != nil {
+	if f := h.authenticateOperator(r); f != nil {
 		problem.Write(w, f, "")
 		return
 	}
 	data, ok := h.host.Explain(mux.Vars(r)["id"])
 	if !ok {
-		problem.Write(w, failure.New(failure.NotFound, "", "this entry host does not remember the request"), "")
+		problem.Write(w, failure.New(failure.NotFound, "", "this entry host has no record of the request"), "")
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(data)
 }
 
-func (h *Handler) operator(r *http.Request) *failure.Error {
+// authenticateOperator checks the request's key against the configured operator keys.
+func (h *Handler) authenticateOperator(r *http.Request) *failure.Error {
 	hash, ok := operatorhttp.BearerHash(r)
 	record := h.host.Record()
 	if ok && record != nil {
@@ -220,16 +224,17 @@
 			return nil
 		}
 	}
-	return failure.New(failure.Unauthorized, "", "an operator key is needed")
+	return failure.New(failure.Unauthorized, "", "a valid operator key is required")
 }
 
-// start authenticates the caller and reads what is common to all requests.
-func (h *Handler) start(w http.ResponseWriter, r *http.Request) (*entry.Request, *failure.Error) {
-	w.Header().Set(HeaderEntry, h.host.Options().ID)
+// readRequest authenticates the caller and reads the headers and body that all requests
+// share.
+func (h *Handler) readRequest(w http.ResponseWriter, r *http.Request) (*entry.Request, *failure.Error) {
+	w.Header().Set(HeaderEntryHost, h.host.Options().ID)
 	if f := h.host.Ready(); f != nil {
 		return nil, f
 	}
-	t, f := h.team(r)
+	t, f := h.authenticateTeam(r)
 	if f != nil {
 		return nil, f
 	}
@@ -239,7 +244,7 @@
 		Origin: h.host.Options().Region, Idempotent: true,
 	}
 	w.Header().Set(HeaderRequestID, q.ID)
-	w.Header().Set(HeaderVersion, strconv.FormatUint(h.host.Stamp().Version, 10))
+	w.Header().Set(HeaderConfigVersion, strconv.FormatUint(h.host.Stamp().Version, 10))
 	if f := h.readHeaders(q, r); f != nil {
 		return nil, f
 	}
@@ -247,15 +252,18 @@
 	return q, f
 }
 
-// Bounds of the request headers.
+// Limits on request headers.
 const (
-	maxKeyLength   = 256
+	maxKeyBytes    = 256
 	maxPriority    = 10
 	maxDeadlineMS  = 3_600_000
-	maxKindLength  = 64
-	maxFutureIssue = time.Minute
+	maxKindBytes   = 64
+	maxIssuedAhead = time.Minute
 )
 
+// readHeaders validates the headers and sets the request's deadline, priority and issue time.
+// The issue time is that of an idempotency key that is a version 7 UUID, unless the header
+// states another.
 func (h *Handler) readHeaders(q *entry.Request, r *http.Request) *failure.Error {
 	now := time.Now()
 	deadline := int64(h.host.Record().Policy.DefaultDeadlineMS)
@@ -268,17 +276,19 @@
 		return f
 	}
 	q.Priority = int(priority)
-	if len(q.Kind) > maxKindLength || len(q.Key) > maxKeyLength {
+	if len(q.Kind) > maxKindBytes || len(q.Key) > maxKeyBytes {
 		return failure.New(failure.BadRequest, failure.NotRun, "%s or %s is too long", HeaderKind, HeaderKey)
 	}
 	if id, err := uuid.Parse(q.Key); err == nil && id.Version() == 7 {
 		sec, nsec := id.Time().UnixTime()
 		q.IssuedMS = time.Unix(sec, nsec).UnixMilli()
 	}
-	latest := now.Add(maxFutureIssue).UnixMilli()
+	latest := now.Add(maxIssuedAhead).UnixMilli()
 	return intHeader(r, HeaderIssued, 1, latest, &q.IssuedMS)
 }
 
+// intHeader parses a header as an integer from low to high into out. A missing header leaves
+// out unchanged.
 func intHeader(r *http.Request, name string, low, high int64, out *int64) *failure.Error {
 	text := r.Header.Get(name)
 	if text == "" {
@@ -286,14 +296,14 @@
 	}
 	v, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || v < low || v > high {
-		return failure.New(failure.BadRequest, failure.NotRun, "header %s: %.40q is not a number from %d to %d", name, text, low, high)
+		return failure.New(failure.BadRequest, failure.NotRun, "header %s: %.40q is not an integer from %d to %d", name, text, low, high)
 	}
 	*out = v
 	return nil
 }
 
 func (h *Handler) completion(w http.ResponseWriter, r *http.Request) {
-	q, f := h.start(w, r)
+	q, f := h.readRequest(w, r)
 	if f != nil {
 		h.refuse(w, q, f)
 		return
@@ -309,7 +319,7 @@
 }
 
 func (h *Handler) service(w http.ResponseWriter, r *http.Request) {
-	q, f := h.start(w, r)
+	q, f := h.readRequest(w, r)
 	if f != nil {
 		h.refuse(w, q, f)
 		return
@@ -326,7 +336,7 @@
 	h.execute(w, r, q)
 }
 
-// serviceURI returns the path and query at the service: what follows its name.
+// serviceURI returns the path after the service's name, with the query.
 func serviceURI(r *http.Request) string {
 	prefix := "/v1/services/" + mux.Vars(r)["service"]
 	uri := strings.TrimPrefix(r.URL.EscapedPath(), prefix)
@@ -350,9 +360,9 @@
 	outcome := failure.Done
 	if f != nil {
 		outcome = f.Outcome
-		h.fail(s, q, f)
+		h.writeFailure(s, q, f)
 	}
-	s.finish(outcome)
+	s.setOutcome(outcome)
 	h.logRequest(span, q, outcome, f, time.Since(began))
 }
 
@@ -368,7 +378,7 @@
 	log.V(1).Info("request answered")
 }
 
-// refuse answers a request that was not executed.
+// refuse counts and answers a request that is not executed. q may be nil.
 func (h *Handler) refuse(w http.ResponseWriter, q *entry.Request, f *failure.Error) {
 	id := ""
 	if q != nil {
@@ -378,15 +388,15 @@
 	problem.Write(w, f, id)
 }
 
-// fail reports a failure: as a problem document, or inside a stream that has
-// begun as an error event, after which no [DONE] follows.
-func (h *Handler) fail(s *sink, q *entry.Request, f *failure.Error) {
-	if !s.headed {
+// writeFailure reports a failure as a problem document, or, in a stream whose head was sent,
+// as an error event. No [DONE] follows the error event.
+func (h *Handler) writeFailure(s *sink, q *entry.Request, f *failure.Error) {
+	if !s.headSent {
 		problem.Write(s.w, f, q.ID)
 		return
 	}
 	if !s.stream {
-		panic(http.ErrAbortHandler) // the answer's head is out: cut the connection, so that it can't look whole
+		panic(http.ErrAbortHandler) // the head was sent: abort, so that the caller cannot take the answer for a complete one
 	}
 	data, _ := json.Marshal(problem.Of(f, q.ID))
 	_, _ = s.w.Write([]byte("event: error\ndata: " + string(data) + "\n\n"))
--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -42,22 +42,22 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// onePeer answers the fetch of the configuration and nothing else.
-type onePeer struct{ blob *pb.ConfigBlob }
+// configPeer is a peer that only serves the configuration.
+type configPeer struct{ blob *pb.ConfigBlob }
 
-func (p onePeer) Call(_ context.Context, _ string, req *pb.Request) (*pb.Response, error) {
+func (p configPeer) Call(_ context.Context, _ string, req *pb.Request) (*pb.Response, error) {
 	if req.GetConfigFetch() != nil {
 		return &pb.Response{Body: &pb.Response_Config{Config: p.blob}}, nil
 	}
 	return nil, failure.New(failure.PeerUnreachable, failure.NotRun, "no network")
 }
 
-func (onePeer) Open(context.Context, string, *pb.Request, []byte) (port.ForwardStream, bool, error) {
+func (configPeer) Open(context.Context, string, *pb.Request, []byte) (port.ForwardStream, bool, error) {
 	return nil, false, failure.New(failure.PeerUnreachable, failure.NotRun, "no network")
 }
 
-// bench is an entry host with a stand-in engine and a stand-in service.
-type bench struct {
+// testHost is an entry host with a simulated engine.
+type testHost struct {
 	url    string
 	engine *httptest.Server
 	logs   bytes.Buffer
@@ -66,7 +66,7 @@
 
 const secretMarker = "MARKER-of-a-private-letter"
 
-func newBench(tb testing.TB, decode time.Duration) *bench {
+func newTestHost(tb testing.TB, decode time.Duration) *testHost {
 	tb.Helper()
 	raw := fmt.Sprintf(`{"schema_version":2,"regions":[{"name":"r","failure_domains":["f"]}],
 "hosts":[{"id":"h","region":"r","failure_domain":"f","peer":"127.0.0.1:1","caller":"http://127.0.0.1:2"}],
@@ -74,7 +74,7 @@
 "residency":[{"kind":"default"}],"operators":[{"name":"o","key_hashes":[%q]}],"backend_key_hashes":[%q]}`,
 		hash("team"), hash("operator"), hash("backend"))
 	stamp := &pb.ConfigStamp{Generation: 1, Version: 1, Digest: configstate.Digest([]byte(raw))}
-	b := &bench{m: metrics.New(false)}
+	b := &testHost{m: metrics.New(false)}
 	log := logging.New(&b.logs, 2)
 	if _, ok := tb.(*testing.B); ok {
 		log = logr.Discard()
@@ -82,7 +82,7 @@
 	host := entry.New(entry.Options{
 		ID: "h", Region: "r", FailureDomain: "f", Seeds: []string{"seed"}, VerifyKey: signer.Public().(ed25519.PublicKey),
 		Probe: time.Hour, Update: time.Hour, Summary: time.Hour, Lease: time.Hour, StallTimeout: time.Minute,
-		MaxBody: 1 << 20, MaxExplained: 100, Peers: onePeer{&pb.ConfigBlob{Stamp: stamp, Record: []byte(raw), Signature: configstate.Sign(signer, stamp)}},
+		MaxBody: 1 << 20, MaxExplained: 100, Peers: configPeer{&pb.ConfigBlob{Stamp: stamp, Record: []byte(raw), Signature: configstate.Sign(signer, stamp)}},
 		Backends: enginehttp.New(), Clock: port.SystemClock{}, Log: log, Metrics: b.m, Tracer: noop.NewTracerProvider().Tracer(""),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -112,7 +112,7 @@
 	return b
 }
 
-func (b *bench) announce(tb testing.TB) {
+func (b *testHost) announce(tb testing.TB) {
 	tb.Helper()
 	a := backendhttp.Announcement{Address: strings.TrimPrefix(b.engine.URL, "http://"), Kind: "engine", Models: []string{"m"}, Slots: 10_000, Incarnation: 1, Sequence: 1}
 	data, _ := json.Marshal(a)
@@ -122,7 +122,7 @@
 	}
 }
 
-func (b *bench) do(tb testing.TB, method, path, key, body string, header map[string]string) *http.Response {
+func (b *testHost) do(tb testing.TB, method, path, key, body string, header map[string]string) *http.Response {
 	tb.Helper()
 	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
 	if err != nil {
@@ -144,10 +144,10 @@
 
 const goodChat = `{"model":"m","max_tokens":3,"messages":[{"role":"user","content":"` + secretMarker + `"}]}`
 
-// TestBadInput is the contract for what callers may send wrongly: each gets a
-// problem document with its code, and nothing runs.
-func TestBadInput(t *testing.T) {
-	b := newBench(t, 0)
+// TestInvalidRequests specifies the response to each kind of invalid request: a problem
+// document with the code, and an outcome that excludes a run.
+func TestInvalidRequests(t *testing.T) {
+	b := newTestHost(t, 0)
 	for _, c := range []struct {
 		name, method, path, key, body string
 		header                        map[string]string
@@ -195,10 +195,10 @@
 	}
 }
 
-// TestHalfClosedConnection sends a request and closes its own direction: the
-// answer arrives whole.
+// TestHalfClosedConnection checks that a caller which closes its side of the connection
+// after the request still receives the response.
 func TestHalfClosedConnection(t *testing.T) {
-	b := newBench(t, 0)
+	b := newTestHost(t, 0)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -214,9 +214,10 @@
 	}
 }
 
-// TestSlowBody sends half a body and then nothing.
+// TestSlowBody checks that a body which does not arrive completely within the timeout
+// gets status 408.
 func TestSlowBody(t *testing.T) {
-	b := newBench(t, 0)
+	b := newTestHost(t, 0)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +231,7 @@
 }
 
 func TestNoPromptTextAndNoKeysInLogsAndMetrics(t *testing.T) {
-	b := newBench(t, 0)
+	b := newTestHost(t, 0)
 	resp := b.do(t, "POST", "/v1/chat/completions", "team", goodChat, nil)
 	if resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
@@ -244,7 +245,7 @@
 		t.Fatalf("explain: %s", text)
 	}
 	if !strings.Contains(b.logs.String(), id) {
-		t.Fatalf("the log does not name the request: %s", b.logs.String())
+		t.Fatalf("the log does not contain the request ID: %s", b.logs.String())
 	}
 	for name, s := range map[string]string{"logs": b.logs.String(), "metrics": b.m.String(), "explain": string(text)} {
 		for _, secret := range []string{secretMarker, "Bearer", hash("team")} {
@@ -270,17 +271,17 @@
 	})
 }
 
-// BenchmarkAdded compares a request through the entry host with one straight to
-// the engine; the difference of the two is what the gateway adds.
-func BenchmarkAdded(b *testing.B) {
-	w := newBench(b, 0)
+// BenchmarkGatewayOverhead compares requests through the entry host with requests sent
+// directly to the engine. The difference is the latency that the entry host adds.
+func BenchmarkGatewayOverhead(b *testing.B) {
+	w := newTestHost(b, 0)
 	for _, c := range []struct{ name, url string }{{"direct", w.engine.URL}, {"through", w.url}} {
 		b.Run(c.name, func(b *testing.B) {
 			h := metrics.NewHistogram()
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 			b.ReportAllocs()
 			for b.Loop() {
-				h.Observe(oneAnswer(b, client, c.url))
+				h.Observe(timeRequest(b, client, c.url))
 			}
 			b.ReportMetric(float64(h.Quantile(50).Microseconds()), "p50-µs")
 			b.ReportMetric(float64(h.Quantile(99).Microseconds()), "p99-µs")
@@ -288,11 +289,11 @@
 	}
 }
 
-// BenchmarkPaced sends 1,000 requests a second, open loop, straight to the
+// BenchmarkOpenLoop sends 1,000 requests per second in an open loop, directly to the
 // engine and through the entry host.
-func BenchmarkPaced(b *testing.B) {
+func BenchmarkOpenLoop(b *testing.B) {
 	const rate, seconds = 1000, 4
-	w := newBench(b, 0)
+	w := newTestHost(b, 0)
 	for _, c := range []struct{ name, url string }{{"direct", w.engine.URL}, {"through", w.url}} {
 		b.Run(c.name, func(b *testing.B) {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}
@@ -305,7 +306,7 @@
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						h.Observe(oneAnswer(b, client, c.url))
+						h.Observe(timeRequest(b, client, c.url))
 					}()
 				}
 				wg.Wait()
@@ -316,8 +317,8 @@
 	}
 }
 
-// oneAnswer sends a short request and returns how long its answer took.
-func oneAnswer(b *testing.B, client *http.Client, url string) time.Duration {
+// timeRequest sends a short request and returns the time until its response is complete.
+func timeRequest(b *testing.B, client *http.Client, url string) time.Duration {
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(`{"model":"m","max_tokens":1,"prompt":"x"}`))
 	if err != nil {
 		b.Error(err)
