--- a/internal/adapter/enginehttp/enginehttp.go
+++ b/internal/adapter/enginehttp/enginehttp.go
@@ -1,5 +1,5 @@
-// Package enginehttp calls backend servers over HTTP: model engines with the
-// OpenAI-style interface, and plain services.
+// Package enginehttp is the HTTP client for backend servers: model engines with an
+// OpenAI-compatible interface, and services.
 package enginehttp
 
 import (
@@ -20,9 +20,9 @@
 
 // Headers between entry hosts and backend servers.
 const (
-	HeaderAttempt = "Sesame-Attempt-Id"
-	HeaderResume  = "Sesame-Resume-Tokens"
-	HeaderOutcome = "Sesame-Outcome"
+	HeaderAttemptID = "Sesame-Attempt-Id"
+	HeaderResume    = "Sesame-Resume-Tokens"
+	HeaderOutcome   = "Sesame-Outcome"
 )
 
 // Client implements port.Backends and port.Engines.
@@ -30,32 +30,32 @@
 	http *http.Client
 }
 
-// Connection limits towards one backend server.
+// Limits on connections to one backend server.
 const (
-	dialTimeout  = time.Second
-	idlePerHost  = 256
-	idleLifetime = 30 * time.Second
+	dialTimeout      = time.Second
+	maxIdlePerServer = 256
+	idleTimeout      = 30 * time.Second
 )
 
-// New returns a client without connections.
+// New returns a client that has no connections yet.
 func New() *Client {
 	d := &net.Dialer{Timeout: dialTimeout}
 	return &Client{http: &http.Client{
 		Transport: &http.Transport{
 			DialContext:         d.DialContext,
-			MaxIdleConnsPerHost: idlePerHost,
-			IdleConnTimeout:     idleLifetime,
+			MaxIdleConnsPerHost: maxIdlePerServer,
+			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do implements port.Backends. Once a connection was obtained, bytes of the
-// request may have reached the server.
+// Do implements port.Backends. It reports the request as sent once a connection was
+// obtained, because the server may then have received bytes of it.
 func (c *Client) Do(ctx context.Context, call port.BackendCall) (*port.BackendAnswer, bool, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -65,12 +65,14 @@
 	if err != nil {
 		return nil, false, failure.Wrap(err, failure.BadRequest, failure.NotRun)
 	}
-	// Without GetBody, net/http never sends a request a second time by itself.
+	// Without GetBody, net/http does not resend a request with a body when a reused connection
+	// breaks. It still resends one without a body, if the method is safe or the request has an
+	// idempotency key.
 	req.GetBody = nil
 	for name, values := range call.Header {
 		req.Header[name] = values
 	}
-	req.Header.Set(HeaderAttempt, call.AttemptID)
+	req.Header.Set(HeaderAttemptID, call.AttemptID)
 	if call.ResumeTokens > 0 {
 		req.Header.Set(HeaderResume, strconv.Itoa(call.ResumeTokens))
 	}
@@ -91,7 +93,7 @@
 	return failure.NotRun
 }
 
-// OrderReply is an engine's answer to an order.
+// OrderReply is an engine's response to an order.
 type OrderReply struct {
 	Checked bool   `json:"fence_checked"`
 	Error   string `json:"error"`
--- a/internal/adapter/problem/problem.go
+++ b/internal/adapter/problem/problem.go
@@ -1,4 +1,4 @@
-// Package problem writes failures as RFC 9457 problem documents, and reads them.
+// Package problem encodes failures as RFC 9457 problem documents and decodes them.
 package problem
 
 import (
@@ -30,10 +30,10 @@
 // ContentType is the media type of problem documents.
 const ContentType = "application/problem+json"
 
-// headerOutcome repeats the outcome for clients that read no body.
+// headerOutcome repeats the document's outcome for clients that do not read the body.
 const headerOutcome = "Sesame-Outcome"
 
-// Of returns the document of a failure.
+// Of returns the problem document for a failure.
 func Of(f *failure.Error, requestID string) Document {
 	return Document{
 		Type: typePrefix + string(f.Code), Title: f.Title(), Status: Status(f),
@@ -42,8 +42,8 @@
 	}
 }
 
-// Error returns the failure that the document states. ok is false when it is
-// no document of this system.
+// Error returns the failure that the document describes. ok is false when the
+// document's type is not one of this system.
 func (d Document) Error() (f *failure.Error, ok bool) {
 	code, ok := strings.CutPrefix(d.Type, typePrefix)
 	if !ok {
@@ -55,7 +55,7 @@
 	return f, true
 }
 
-// Write answers a request with a failure.
+// Write answers a request with the problem document for a failure.
 func Write(w http.ResponseWriter, f *failure.Error, requestID string) {
 	h := w.Header()
 	h.Set("Content-Type", ContentType)
--- a/internal/adapter/problem/status.go
+++ b/internal/adapter/problem/status.go
@@ -6,10 +6,11 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// statusClientGone is the customary status for a caller that went away.
-const statusClientGone = 499
+// statusClientClosedRequest is the non-standard status that nginx introduced for a caller
+// that closed its connection.
+const statusClientClosedRequest = 499
 
-var statuses = map[failure.Code]int{
+var statusByCode = map[failure.Code]int{
 	failure.BadRequest:        http.StatusBadRequest,
 	failure.BodyTooLarge:      http.StatusRequestEntityTooLarge,
 	failure.SlowBody:          http.StatusRequestTimeout,
@@ -36,7 +37,7 @@
 	failure.PeerUnreachable:   http.StatusBadGateway,
 	failure.PeerRefused:       http.StatusForbidden,
 	failure.Circulating:       http.StatusLoopDetected,
-	failure.Canceled:          statusClientGone,
+	failure.Canceled:          statusClientClosedRequest,
 	failure.DeadlineExceeded:  http.StatusGatewayTimeout,
 	failure.VersionConflict:   http.StatusConflict,
 	failure.InvalidRecord:     http.StatusUnprocessableEntity,
@@ -59,7 +60,7 @@
 
 // Status returns the HTTP status of a failure.
 func Status(f *failure.Error) int {
-	if s, ok := statuses[f.Code]; ok {
+	if s, ok := statusByCode[f.Code]; ok {
 		return s
 	}
 	return http.StatusInternalServerError
--- a/internal/adapter/tracing/tracing.go
+++ b/internal/adapter/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing sets up OpenTelemetry: a span for each hop, W3C context
-// between processes.
+// Package tracing sets up OpenTelemetry tracing. Each hop of a request has a span;
+// processes propagate the context as W3C trace context.
 package tracing
 
 import (
@@ -18,20 +18,19 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Tracer makes spans and exports them until Shutdown.
+// Tracer creates spans and exports them until Shutdown.
 type Tracer struct {
 	trace.Tracer
 	provider *sdktrace.TracerProvider
 	file     *os.File
 }
 
-// scope names the instrumentation.
-const scope = "sesamefork"
+const instrumentationScope = "sesamefork"
 
-// New returns the tracer that the settings ask for.
+// New returns the tracer that the settings configure.
 func New(t settings.Trace, host settings.Host, service string) (*Tracer, error) {
 	if t.Exporter == "none" {
-		return &Tracer{Tracer: noop.NewTracerProvider().Tracer(scope)}, nil
+		return &Tracer{Tracer: noop.NewTracerProvider().Tracer(instrumentationScope)}, nil
 	}
 	out := &Tracer{}
 	exporter, err := out.exporter(t)
@@ -49,7 +48,7 @@
 		sdktrace.WithResource(res),
 		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(t.SampleRatio))),
 	)
-	out.Tracer = out.provider.Tracer(scope)
+	out.Tracer = out.provider.Tracer(instrumentationScope)
 	return out, nil
 }
 
@@ -73,7 +72,7 @@
 	return e, nil
 }
 
-// Shutdown exports what is left.
+// Shutdown exports the remaining spans and closes the exporter's file.
 func (t *Tracer) Shutdown(ctx context.Context) {
 	if t.provider != nil {
 		_ = t.provider.Shutdown(ctx)
