--- a/internal/adapter/logging/logging.go
+++ b/internal/adapter/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the processes' loggers: JSON lines through logr. Prompt
-// text and keys are never logged.
+// Package logging creates logr loggers that write JSON lines. Prompt text and keys must
+// never be logged.
 package logging
 
 import (
@@ -13,80 +13,82 @@
 	"go.uber.org/zap/zapcore"
 )
 
-func encoder() zapcore.Encoder {
+func newEncoder() zapcore.Encoder {
 	enc := zap.NewProductionEncoderConfig()
 	enc.TimeKey, enc.MessageKey, enc.LevelKey = "time", "event", "level"
 	enc.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	return zapcore.NewJSONEncoder(enc)
 }
 
-// New returns a logger that writes JSON lines to w. level 0 logs info and
-// errors; higher levels add debugging.
+// New returns a logger that writes JSON lines to w and blocks while w does. Level 0
+// logs info and errors; higher levels add debug lines.
 func New(w io.Writer, level int) logr.Logger {
-	core := zapcore.NewCore(encoder(), zapcore.Lock(zapcore.AddSync(w)), zapcore.Level(-level))
+	core := zapcore.NewCore(newEncoder(), zapcore.Lock(zapcore.AddSync(w)), zapcore.Level(-level))
 	return zapr.NewLogger(zap.New(core))
 }
 
-// Bounds of a bounded logger.
+// Limits of a bounded logger.
 const (
-	// linesPerSecond bounds the lines of one event in a second: a few times the decisions of
-	// an entry host at its peak.
-	linesPerSecond = 150
-	// queuedLines bounds the lines that wait for the output: some seconds of the above.
-	queuedLines = 1024
-	// maxBatch bounds the bytes written in one call: lines may come faster than
-	// they are collected.
-	maxBatch = 64 << 10
-	// flushTimeout bounds the wait for the output at the end of the process.
+	// maxEventLinesPerSecond is the maximum number of lines of one event per second. It is a
+	// few times the routing decisions of an entry host per second at peak load.
+	maxEventLinesPerSecond = 150
+	// maxQueuedLines is the maximum number of lines that wait for the output: several seconds
+	// of one event at its maximum rate.
+	maxQueuedLines = 1024
+	// maxBatchBytes is the size at which a batch is written. Without it, a batch would
+	// grow for as long as lines arrive faster than they are collected.
+	maxBatchBytes = 64 << 10
+	// flushTimeout limits the wait for the output in Close.
 	flushTimeout = 300 * time.Millisecond
 )
 
-// Bounded is a logger that never waits for its output. Lines beyond the bounds
-// are dropped and counted.
+// Bounded is a logger that never blocks on its output. Lines over the rate of their
+// event and lines that do not fit in the queue are dropped and counted.
 type Bounded struct {
 	logr.Logger
-	out     *queue
-	sampled atomic.Int64
+	out      *queue
+	overRate atomic.Int64
 }
 
 // NewBounded returns a bounded logger that writes to w.
 func NewBounded(w io.Writer, level int) *Bounded {
 	b := &Bounded{out: newQueue(w)}
-	core := zapcore.NewCore(encoder(), b.out, zapcore.Level(-level))
-	core = zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, 0, zapcore.SamplerHook(b.count))
+	core := zapcore.NewCore(newEncoder(), b.out, zapcore.Level(-level))
+	core = zapcore.NewSamplerWithOptions(core, time.Second, maxEventLinesPerSecond, 0, zapcore.SamplerHook(b.countOverRate))
 	b.Logger = zapr.NewLogger(zap.New(core))
 	return b
 }
 
-func (b *Bounded) count(_ zapcore.Entry, d zapcore.SamplingDecision) {
+// countOverRate counts the lines that the sampler dropped.
+func (b *Bounded) countOverRate(_ zapcore.Entry, d zapcore.SamplingDecision) {
 	if d&zapcore.LogDropped != 0 {
-		b.sampled.Add(1)
+		b.overRate.Add(1)
 	}
 }
 
-// Dropped returns the number of lines that were dropped: over the rate of their
-// event, and because the output was too slow.
+// Dropped returns the number of lines that were dropped because their event exceeded
+// its rate, and because the output was too slow.
 func (b *Bounded) Dropped() (overRate, slowOutput int64) {
-	return b.sampled.Load(), b.out.dropped.Load()
+	return b.overRate.Load(), b.out.dropped.Load()
 }
 
-// Close writes what waits, for a short time, and ends the logger.
+// Close writes the queued lines and stops the logger. It gives up after flushTimeout.
 func (b *Bounded) Close() { b.out.close() }
 
-// queue hands lines to a writer of its own goroutine.
+// queue passes lines to a goroutine that writes them to the output.
 type queue struct {
-	lines   chan []byte
+	lines   chan []byte // nil ends the goroutine
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
 func newQueue(w io.Writer) *queue {
-	q := &queue{lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	q := &queue{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go q.run(w)
 	return q
 }
 
-// run writes lines together when several wait: one call of the system for all.
+// run writes queued lines in batches, to save system calls.
 func (q *queue) run(w io.Writer) {
 	defer close(q.done)
 	for line := range q.lines {
@@ -94,7 +96,7 @@
 			return
 		}
 		batch := line
-		for more := true; more && len(batch) < maxBatch; {
+		for more := true; more && len(batch) < maxBatchBytes; {
 			select {
 			case next := <-q.lines:
 				if next == nil {
@@ -106,12 +108,12 @@
 				more = false
 			}
 		}
-		_, _ = w.Write(batch) // there is nowhere to report a broken output
+		_, _ = w.Write(batch) // an error of the log output cannot be reported anywhere
 	}
 }
 
-// Write implements zapcore.WriteSyncer. The line is copied: the encoder uses its
-// buffer again.
+// Write implements zapcore.WriteSyncer. It copies the line because the encoder reuses
+// its buffer.
 func (q *queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
--- a/internal/adapter/logging/logging_test.go
+++ b/internal/adapter/logging/logging_test.go
@@ -30,24 +30,24 @@
 	}
 }
 
-// stuck is an output that takes nothing until it is released.
-type stuck struct {
+// blockedWriter blocks every write until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	out     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.out.Write(p)
 }
 
-// TestOutputThatIsStuck writes far more lines than the queue holds, each of an
-// event of its own so that no rate applies: nobody waits, and what is not
-// written is counted.
-func TestOutputThatIsStuck(t *testing.T) {
-	w := &stuck{release: make(chan struct{})}
+// TestBlockedOutput logs three times as many lines as the queue holds while the
+// output blocks, and checks that every line is written or counted as dropped. Each
+// line is a separate event, so that the rate limit does not apply.
+func TestBlockedOutput(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	b := NewBounded(w, 0)
-	const lines = 3 * queuedLines
+	const lines = 3 * maxQueuedLines
 	for i := range lines {
 		b.Info(fmt.Sprint("event ", i))
 	}
@@ -60,12 +60,12 @@
 	}
 }
 
-// TestRateOfOneEvent writes one event ten times as often as its bound: most of it
-// is left out and counted, other events are not.
-func TestRateOfOneEvent(t *testing.T) {
+// TestEventRateLimit logs one event at ten times its maximum rate, and checks that the
+// excess is dropped and counted, and that another event is logged.
+func TestEventRateLimit(t *testing.T) {
 	var out bytes.Buffer
 	b := NewBounded(&out, 0)
-	const lines = 10 * linesPerSecond
+	const lines = 10 * maxEventLinesPerSecond
 	for range lines {
 		b.Info("place chosen")
 	}
@@ -77,34 +77,34 @@
 		t.Errorf("%d written, %d counted as over the rate, of %d", chosen, over, lines)
 	}
 	if !strings.Contains(out.String(), "request failed") {
-		t.Error("another event was left out")
+		t.Error("another event was dropped")
 	}
 }
 
-// largest notes the longest single write.
-type largest struct{ n int }
+// maxWriteRecorder records the size of the largest write, in bytes.
+type maxWriteRecorder struct{ n int }
 
-func (l *largest) Write(p []byte) (int, error) {
+func (l *maxWriteRecorder) Write(p []byte) (int, error) {
 	l.n = max(l.n, len(p))
 	return len(p), nil
 }
 
-// TestLinesFasterThanTheOutput keeps the queue full all the time: what is written
-// at once stays bounded, so that the process's memory does.
-func TestLinesFasterThanTheOutput(t *testing.T) {
-	w := &largest{}
+// TestBatchSizeIsBounded keeps the queue full and checks the size of each write. A batch
+// that grew while lines kept arriving would have no limit on its memory.
+func TestBatchSizeIsBounded(t *testing.T) {
+	w := &maxWriteRecorder{}
 	q := newQueue(w)
 	line := bytes.Repeat([]byte("x"), 1000)
-	for range 20 * queuedLines {
+	for range 20 * maxQueuedLines {
 		_, _ = q.Write(line)
 	}
 	q.close()
-	if w.n > maxBatch+len(line) {
-		t.Errorf("%d bytes in one write, bound %d", w.n, maxBatch)
+	if w.n > maxBatchBytes+len(line) {
+		t.Errorf("%d bytes in one write, limit %d", w.n, maxBatchBytes)
 	}
 }
 
-// BenchmarkLine is the cost of one decision's line to the request that it belongs to.
+// BenchmarkLine measures the time that logging a routing decision adds to a request.
 func BenchmarkLine(b *testing.B) {
 	l := NewBounded(io.Discard, 0)
 	defer l.Close()
@@ -114,12 +114,12 @@
 	}
 }
 
-// BenchmarkLineOverRate is the cost of a line that is dropped because its event comes too
-// often: at ten times the load of a sheet's peak seven lines of ten are.
+// BenchmarkLineOverRate measures the cost of a line that the rate limit drops. At ten times
+// the specified peak load, seven of ten lines are dropped.
 func BenchmarkLineOverRate(b *testing.B) {
 	out := NewBounded(io.Discard, 0)
 	defer out.Close()
-	for range linesPerSecond {
+	for range maxEventLinesPerSecond {
 		out.Info("place chosen")
 	}
 	b.ReportAllocs()
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -11,11 +11,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histogram bounds: 1 µs to 10 minutes with two significant figures.
+// Range of a histogram: 1 µs to 10 minutes with two significant figures.
 const (
-	minMicros = 1
-	maxMicros = 600_000_000
-	figures   = 2
+	minMicros          = 1
+	maxMicros          = 600_000_000
+	significantFigures = 2
 )
 
 // Histogram is an expvar variable that shows count, mean and quantiles in ms.
@@ -26,7 +26,7 @@
 
 // NewHistogram returns an empty histogram.
 func NewHistogram() *Histogram {
-	return &Histogram{h: hdrhistogram.New(minMicros, maxMicros, figures)}
+	return &Histogram{h: hdrhistogram.New(minMicros, maxMicros, significantFigures)}
 }
 
 // Observe records a duration.
@@ -63,9 +63,9 @@
 	return string(data)
 }
 
-// Set is the metrics of one process. Its names are stable. Gauges are computed
-// without any lock of the set held, so that they may take locks under which
-// counters are raised.
+// Set holds the metrics of one process. Metric names are stable. Gauge functions run
+// without the set's lock, so that they may acquire locks whose holders increment
+// counters.
 type Set struct {
 	mu       sync.Mutex
 	counters map[string]*expvar.Int
@@ -73,7 +73,7 @@
 	gauges   map[string]func() any
 }
 
-// New returns a set; with publish it appears at /debug/vars under "sesame".
+// New returns an empty set. With publish, the set appears at /debug/vars as "sesame".
 func New(publish bool) *Set {
 	s := &Set{counters: map[string]*expvar.Int{}, hist: map[string]*Histogram{}, gauges: map[string]func() any{}}
 	if publish {
@@ -82,10 +82,10 @@
 	return s
 }
 
-// Add raises a counter.
+// Add increases a counter by n.
 func (s *Set) Add(name string, n int64) { s.counter(name).Add(n) }
 
-// LinkBytes counts the bytes on the links to other hosts.
+// LinkBytes counts the bytes sent to and received from other hosts.
 func (s *Set) LinkBytes(sent, received int) {
 	if sent > 0 {
 		s.Add("link_bytes_sent", int64(sent))
@@ -109,7 +109,7 @@
 	return c
 }
 
-// Gauge publishes a value computed when it is read.
+// Gauge registers a function that computes the value of a gauge on each read.
 func (s *Set) Gauge(name string, f func() any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/adapter/metrics/metrics_test.go
+++ b/internal/adapter/metrics/metrics_test.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// TestGaugeMayTakeLocksUnderWhichCountersAreRaised reads the set while a gauge
-// waits for a lock whose holder raises a new counter. With the gauges computed
-// under the set's lock this never ends.
-func TestGaugeMayTakeLocksUnderWhichCountersAreRaised(t *testing.T) {
+// TestGaugesRunWithoutSetLock reads the set while a gauge function waits for a lock
+// whose holder adds a counter. It deadlocks if gauge functions run under the set's lock.
+func TestGaugesRunWithoutSetLock(t *testing.T) {
 	s := New(false)
 	var mu sync.Mutex
 	inGauge := make(chan struct{})
