--- a/internal/adapter/backendconn/backendconn.go
+++ b/internal/adapter/backendconn/backendconn.go
@@ -27,8 +27,8 @@
 type Options struct {
 	// DialTimeout limits the time to establish a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept when the server states no
-	// timeout.
+	// IdleTimeout is the maximum time that an idle connection is kept. A shorter timeout
+	// stated by the server takes precedence.
 	IdleTimeout time.Duration
 	// MaxIdlePerAddr is the maximum number of idle connections per address.
 	MaxIdlePerAddr int
@@ -81,17 +81,17 @@
 		return nil, &Error{DialFailed: true, Cause: err}
 	}
 	x := &exchange{p: p, c: c, written: make(chan struct{})}
-	x.cancelClose = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
+	x.stop = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 	go x.write(req, body)
 	resp, err := x.readHead(req, matches)
 	if err != nil {
-		x.cancelClose()
+		x.stop()
 		_ = c.Conn.Close()
 		<-x.written
 		if ctx.Err() != nil {
 			err = context.Cause(ctx)
 		}
-		return nil, &Error{Sent: x.wroteAny, Cause: err}
+		return nil, &Error{Sent: x.sent, Cause: err}
 	}
 	resp.Body = &responseBody{x: x, resp: resp, body: resp.Body}
 	return resp, nil
@@ -99,12 +99,12 @@
 
 // exchange is one request and its response on a connection.
 type exchange struct {
-	p           *Pool
-	c           *conn
-	cancelClose func() bool
-	written     chan struct{} // closed when the write of the request has ended
-	wroteAny    bool          // any byte of the request was written; set before written is closed
-	writeErr    error         // of the write; set before written is closed
+	p        *Pool
+	c        *conn
+	stop     func() bool
+	written  chan struct{} // closed when the write of the request has ended
+	sent     bool          // any byte of the request was written; set before written is closed
+	writeErr error         // of the write; set before written is closed
 }
 
 // countingWriter counts the bytes that the connection accepted.
@@ -132,7 +132,7 @@
 	if err == nil {
 		err = bw.Flush()
 	}
-	x.wroteAny, x.writeErr = cw.n > 0, err
+	x.sent, x.writeErr = cw.n > 0, err
 }
 
 // readHead reads up to the head of the response that belongs to the request.
@@ -190,7 +190,7 @@
 func (b *responseBody) finish(complete bool) {
 	b.done = true
 	x := b.x
-	if !x.cancelClose() || !complete || b.resp.Close || !selfDelimited(b.resp) || x.c.br.Buffered() > 0 {
+	if !x.stop() || !complete || b.resp.Close || !selfDelimited(b.resp) || x.c.br.Buffered() > 0 {
 		_ = x.c.Conn.Close()
 		return
 	}
--- a/internal/adapter/logging/logging.go
+++ b/internal/adapter/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging creates logr loggers that write JSON lines. Prompt text and keys must
-// never be logged.
+// Package logging creates logr loggers that write JSON lines. Prompt text and keys are
+// never logged.
 package logging
 
 import (
@@ -46,8 +46,8 @@
 // event and lines that do not fit in the queue are dropped and counted.
 type Bounded struct {
 	logr.Logger
-	out      *queue
-	overRate atomic.Int64
+	out             *queue
+	droppedOverRate atomic.Int64
 }
 
 // NewBounded returns a bounded logger that writes to w.
@@ -62,14 +62,14 @@
 // countOverRate counts the lines that the sampler dropped.
 func (b *Bounded) countOverRate(_ zapcore.Entry, d zapcore.SamplingDecision) {
 	if d&zapcore.LogDropped != 0 {
-		b.overRate.Add(1)
+		b.droppedOverRate.Add(1)
 	}
 }
 
 // Dropped returns the number of lines that were dropped because their event exceeded
 // its rate, and because the output was too slow.
 func (b *Bounded) Dropped() (overRate, slowOutput int64) {
-	return b.overRate.Load(), b.out.dropped.Load()
+	return b.droppedOverRate.Load(), b.out.dropped.Load()
 }
 
 // Close writes the queued lines and stops the logger. It gives up after flushTimeout.
