--- a/internal/core/configstate/configstate_test.go
+++ b/internal/core/configstate/configstate_test.go
@@ -15,8 +15,8 @@
 
 var keyHash = strings.Repeat("ab", 32)
 
-// base is a valid record as a map that tests change.
-func base() map[string]any {
+// validRecord returns a valid record as a map for tests to modify.
+func validRecord() map[string]any {
 	var m map[string]any
 	text := fmt.Sprintf(`{"schema_version":2,"regions":[{"name":"a","failure_domains":["a1","a2"]},{"name":"b","failure_domains":["b1"]}],
 "hosts":[{"id":"h1","region":"a","failure_domain":"a1","peer":"127.0.0.1:1","caller":"http://127.0.0.1:2"},
@@ -29,11 +29,12 @@
 	return m
 }
 
-func item(m map[string]any, list string, i int) map[string]any {
+// listItem returns element i of one of the record's lists.
+func listItem(m map[string]any, list string, i int) map[string]any {
 	return m[list].([]any)[i].(map[string]any)
 }
 
-func raw(m map[string]any) []byte {
+func encode(m map[string]any) []byte {
 	data, err := json.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -41,9 +42,9 @@
 	return data
 }
 
-func TestRecordsThatAreRefused(t *testing.T) {
-	if _, err := Parse(raw(base())); err != nil {
-		t.Fatalf("the base record: %v", err)
+func TestParseRejectsInvalidRecords(t *testing.T) {
+	if _, err := Parse(encode(validRecord())); err != nil {
+		t.Fatalf("validRecord is rejected: %v", err)
 	}
 	for _, c := range []struct {
 		name string
@@ -52,22 +53,22 @@
 	}{
 		{"unknown schema", func(m map[string]any) { m["schema_version"] = 9 }, "schema_version: 9 is not supported"},
 		{"region without entry hosts", func(m map[string]any) { m["hosts"] = m["hosts"].([]any)[:1] }, `region "b" has no entry host`},
-		{"kind that may go nowhere", func(m map[string]any) { item(m, "residency", 0)["regions"] = []string{"b"} }, `leaves no region for model "m"`},
-		{"home that is no region", func(m map[string]any) { item(m, "teams", 0)["home"] = "x" }, `teams[0].home: "x" is not a region`},
-		{"weight out of range", func(m map[string]any) { item(m, "teams", 0)["weight"] = -1 }, "teams[0].weight"},
+		{"kind without a permitted region", func(m map[string]any) { listItem(m, "residency", 0)["regions"] = []string{"b"} }, `leaves no region for model "m"`},
+		{"home is not a region", func(m map[string]any) { listItem(m, "teams", 0)["home"] = "x" }, `teams[0].home: "x" is not a region`},
+		{"weight out of range", func(m map[string]any) { listItem(m, "teams", 0)["weight"] = -1 }, "teams[0].weight"},
 		{"ceiling out of range", func(m map[string]any) { m["policy"] = map[string]any{"send_away_ceiling": 2} }, "policy.send_away_ceiling"},
 		{"unknown preset", func(m map[string]any) { m["policy"] = map[string]any{"preset": "fast"} }, "is not one of archive"},
-		{"key that is no hash", func(m map[string]any) { item(m, "teams", 0)["key_hashes"] = []string{"secret"} }, "is not a SHA-256 hash"},
-		{"nobody may change it", func(m map[string]any) { m["operators"] = []any{} }, "nobody could change the record again"},
-		{"host in a foreign failure domain", func(m map[string]any) { item(m, "hosts", 0)["failure_domain"] = "b1" }, `"b1" is not in region "a"`},
-		{"host twice", func(m map[string]any) { item(m, "hosts", 1)["id"] = "h1" }, "used twice"},
-		{"two replicas", func(m map[string]any) { m["ledger"] = map[string]any{"replicas": 2} }, "ledger.replicas"},
-		{"not JSON of a record", func(m map[string]any) { m["regions"] = "x" }, "record:"},
+		{"key instead of its hash", func(m map[string]any) { listItem(m, "teams", 0)["key_hashes"] = []string{"secret"} }, "is not a SHA-256 hash"},
+		{"no operator with write access", func(m map[string]any) { m["operators"] = []any{} }, "nobody could change the record again"},
+		{"host in a failure domain of another region", func(m map[string]any) { listItem(m, "hosts", 0)["failure_domain"] = "b1" }, `"b1" is not in region "a"`},
+		{"duplicate host ID", func(m map[string]any) { listItem(m, "hosts", 1)["id"] = "h1" }, "used twice"},
+		{"unsupported number of replicas", func(m map[string]any) { m["ledger"] = map[string]any{"replicas": 2} }, "ledger.replicas"},
+		{"list with a wrong JSON type", func(m map[string]any) { m["regions"] = "x" }, "record:"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := base()
+			m := validRecord()
 			c.edit(m)
-			_, err := Parse(raw(m))
+			_, err := Parse(encode(m))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want %q", err, c.want)
 			}
@@ -76,18 +77,18 @@
 }
 
 func TestPreviousSchemaIsConverted(t *testing.T) {
-	m := base()
+	m := validRecord()
 	m["schema_version"] = 1
 	m["residency"] = []any{map[string]any{"kind": "k"}, map[string]any{"kind": "private"}}
-	r, err := Parse(raw(m))
+	r, err := Parse(encode(m))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if rule, _ := r.Rule("private"); !rule.HomeOnly {
-		t.Error("kind private of schema version 1 means the home only")
+		t.Error("HomeOnly is not set for kind private of schema version 1")
 	}
 	if rule, _ := r.Rule("k"); rule.HomeOnly {
-		t.Error("other kinds do not")
+		t.Error("HomeOnly is set for a kind other than private")
 	}
 }
 
@@ -97,7 +98,7 @@
 
 func TestMachine(t *testing.T) {
 	m := NewMachine(1)
-	good := raw(base())
+	good := encode(validRecord())
 	steps := []struct {
 		name    string
 		c       *pb.Command
@@ -106,9 +107,9 @@
 	}{
 		{"first", command(0, "a", good), 1, ""},
 		{"resent", command(0, "a", good), 1, ""},
-		{"old base", command(0, "b", good), 0, failure.VersionConflict},
-		{"refusal resent after the base fits", command(0, "b", good), 0, failure.VersionConflict},
-		{"id used again", command(1, "a", good), 0, failure.ChangeIDReused},
+		{"outdated base version", command(0, "b", good), 0, failure.VersionConflict},
+		{"resent rejected change, base version current now", command(0, "b", good), 0, failure.VersionConflict},
+		{"change ID reused", command(1, "a", good), 0, failure.ChangeIDReused},
 		{"invalid", command(1, "c", []byte("{}")), 0, failure.InvalidRecord},
 		{"second", command(1, "d", good), 2, ""},
 	}
@@ -118,7 +119,7 @@
 				t.Errorf("round %d, %s: %+v, want version %d, %q", round, s.name, got, s.version, s.code)
 			}
 		}
-		// Every answer survives a snapshot.
+		// Results must be restored from a snapshot.
 		again := NewMachine(9)
 		if err := again.Restore(m.Snapshot()); err != nil {
 			t.Fatal(err)
@@ -126,38 +127,38 @@
 		m = again
 	}
 	if m.Version() != 2 || m.Generation() != 1 {
-		t.Errorf("version %d, generation %d", m.Version(), m.Generation())
+		t.Errorf("version %d, generation %d; want 2, 1", m.Version(), m.Generation())
 	}
 }
 
-func TestMachineStaysBounded(t *testing.T) {
+func TestMachineRetentionIsBounded(t *testing.T) {
 	m := NewMachine(1)
-	good := raw(base())
+	good := encode(validRecord())
 	for v := range uint64(MaxResults + 100) {
 		if r := m.Apply(command(v, fmt.Sprint(v), good)); r.Version != v+1 {
 			t.Fatalf("change %d: %+v", v, r)
 		}
 	}
 	if len(m.results) > MaxResults || len(m.History()) > MaxHistory {
-		t.Errorf("%d answers, %d changes kept", len(m.results), len(m.History()))
+		t.Errorf("%d results and %d changes kept, limits exceeded", len(m.results), len(m.History()))
 	}
 	if limit := 2 << 20; len(m.Snapshot()) > limit {
-		t.Errorf("a snapshot of %d bytes", len(m.Snapshot()))
+		t.Errorf("snapshot has %d bytes, over the limit of 2 MiB", len(m.Snapshot()))
 	}
 }
 
 func TestReplicaSetOfTheLedgerCannotChange(t *testing.T) {
 	m := NewMachine(1)
-	m.Apply(command(0, "a", raw(base())))
-	next := base()
-	item(next, "hosts", 0)["id"] = "h9"
-	if r := m.Apply(command(1, "b", raw(next))); r.Code != failure.InvalidRecord {
-		t.Errorf("a change of the host IDs of a region: %+v", r)
+	m.Apply(command(0, "a", encode(validRecord())))
+	next := validRecord()
+	listItem(next, "hosts", 0)["id"] = "h9"
+	if r := m.Apply(command(1, "b", encode(next))); r.Code != failure.InvalidRecord {
+		t.Errorf("changed host IDs of a region: %+v, want invalid-record", r)
 	}
-	replaced := base()
-	item(replaced, "hosts", 0)["peer"] = "127.0.0.9:1"
-	if r := m.Apply(command(1, "c", raw(replaced))); r.Version != 2 {
-		t.Errorf("a replacement machine under the same ID: %+v", r)
+	replaced := validRecord()
+	listItem(replaced, "hosts", 0)["peer"] = "127.0.0.9:1"
+	if r := m.Apply(command(1, "c", encode(replaced))); r.Version != 2 {
+		t.Errorf("replacement machine with the same host ID: %+v, want version 2", r)
 	}
 }
 
@@ -167,7 +168,7 @@
 		b := rapid.SliceOf(rapid.ByteRange('a', 'c')).Draw(t, "b")
 		got, ok := ApplyDelta(a, MakeDelta(1, a, b))
 		if !ok || !bytes.Equal(got, b) {
-			t.Fatalf("%q to %q gave %q", a, b, got)
+			t.Fatalf("delta from %q to %q rebuilt %q", a, b, got)
 		}
 	})
 }
