--- a/internal/adapter/settings/fleet.go
+++ b/internal/adapter/settings/fleet.go
@@ -2,39 +2,40 @@
 
 import "net/netip"
 
-// Fleet says how hosts find each other when no record lists them.
+// Fleet configures host discovery for interface "platform", where no configuration record
+// lists the hosts.
 type Fleet struct {
-	// Seeds are addresses of control hosts; their port is replaced by PeerPort.
+	// Seeds are addresses of control hosts. Their port is replaced by PeerPort.
 	Seeds []string `toml:"seeds"`
 	// PeerPort is the port at which other hosts reach listen.peer, the same on every
-	// host. It differs from the port of listen.peer where something relays between them.
+	// host. It differs from the port of listen.peer where a relay forwards connections to it.
 	PeerPort int `toml:"peer_port"`
 	// Regions maps each failure domain to its region.
 	Regions map[string]string `toml:"regions"`
-	// HeartbeatMS is the interval of backend servers' announcements (default 1200).
+	// HeartbeatMS is the interval of backend servers' announcements, in ms (default 1200).
 	HeartbeatMS int `toml:"heartbeat_ms"`
-	// Found lets the hosts that the seeds name form the control group when the
-	// data folder is empty. Set at the very first start of all hosts only.
+	// Found lets the hosts listed in Seeds form the control group when the data
+	// folder is empty. It is set only when all hosts start for the first time.
 	Found bool `toml:"found"`
 }
 
-// Retries is the budget of repeats that all hosts share.
+// Retries configures the retry budget that all hosts share.
 type Retries struct {
-	// Ratio is the number of repeats that each request allows (default 0.2).
+	// Ratio is the number of retries that each request adds to the budget (default 0.2).
 	Ratio float64 `toml:"ratio"`
-	// Slack is the number of repeats allowed in a window besides.
+	// Slack is the number of retries allowed per window in addition to Ratio.
 	Slack float64 `toml:"slack"`
-	// WindowS is the span in which the budget holds, in s (default 10).
+	// WindowS is the length of the window to which the budget applies, in s (default 10).
 	WindowS float64 `toml:"window_s"`
 }
 
-// Interfaces towards the outside.
+// Values of the interface setting.
 const (
 	InterfaceSesame   = "sesame"
 	InterfacePlatform = "platform"
 )
 
-// PeerSeeds returns the peer addresses of the hosts that the seeds name.
+// PeerSeeds returns the peer addresses of the hosts in Seeds.
 func (f Fleet) PeerSeeds() []string {
 	out := make([]string, 0, len(f.Seeds))
 	for _, s := range f.Seeds {
@@ -45,8 +46,8 @@
 	return out
 }
 
-// PeerAddress returns the address at which other hosts reach the host that listens
-// on addr, or "" when addr is no address.
+// PeerAddress returns the peer address of the host that listens on addr, or "" if addr
+// is not an IP address with a port.
 func (f Fleet) PeerAddress(addr string) string {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return netip.AddrPortFrom(a.Addr(), uint16(f.PeerPort)).String()
 }
 
-func (c *collector) outside(v string) {
+func (c *collector) interfaceName(v string) {
 	if v != InterfaceSesame && v != InterfacePlatform {
 		c.fail("interface", "%q is not one of %s, %s", v, InterfaceSesame, InterfacePlatform)
 	}
@@ -68,8 +69,8 @@
 	if len(f.Seeds) == 0 {
 		c.fail("fleet.seeds", "is needed with interface %q", InterfacePlatform)
 	}
-	c.between("fleet.peer_port", float64(f.PeerPort), 1, 65535)
-	c.between("fleet.heartbeat_ms", float64(f.HeartbeatMS), 50, 60_000)
+	c.inRange("fleet.peer_port", float64(f.PeerPort), 1, 65535)
+	c.inRange("fleet.heartbeat_ms", float64(f.HeartbeatMS), 50, 60_000)
 	if f.Regions[h.FailureDomain] != h.Region {
 		c.fail("fleet.regions", "failure domain %q is not mapped to host.region %q", h.FailureDomain, h.Region)
 	}
--- a/internal/adapter/settings/keys.go
+++ b/internal/adapter/settings/keys.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// knownKeys lists the dotted keys that a settings structure has.
+// knownKeys returns the dotted TOML keys of the settings structure s.
 func knownKeys(s any) []string {
 	var keys []string
 	collectKeys(reflect.TypeOf(s), "", &keys)
--- a/internal/adapter/settings/load.go
+++ b/internal/adapter/settings/load.go
@@ -1,5 +1,5 @@
-// Package settings reads a process's TOML file. Every fault of a file is
-// reported at once, with file, line, key and what would be right.
+// Package settings reads a process's TOML settings file. All faults of a file are
+// reported at once, each with file, line, key and the accepted values.
 package settings
 
 import (
@@ -14,23 +14,23 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// SchemaVersion is the version of the settings files that this build reads.
+// SchemaVersion is the version of the settings format that this build reads.
 const SchemaVersion = 1
 
 // Fault is one mistake in a settings file.
 type Fault struct {
-	Key    string // dotted path
+	Key    string // dotted TOML key
 	Reason string
 }
 
-// Checked is a settings structure that can check its values.
-type Checked interface {
-	// Faults returns every bad value.
+// Validator is a settings structure that checks its own values.
+type Validator interface {
+	// Faults returns all invalid values.
 	Faults() []Fault
 }
 
-// Load reads the file into s, which holds the defaults.
-func Load(path string, s Checked) error {
+// Load reads the settings file at path into s, which holds the defaults.
+func Load(path string, s Validator) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return failure.Wrap(err, failure.InvalidSettings, "")
@@ -38,8 +38,8 @@
 	return Decode(path, data, s)
 }
 
-// Decode reads data into s; name stands for the file in messages.
-func Decode(name string, data []byte, s Checked) error {
+// Decode reads TOML data into s, which holds the defaults. Messages refer to the data by name.
+func Decode(name string, data []byte, s Validator) error {
 	md, err := toml.Decode(string(data), s)
 	if err != nil {
 		var pe toml.ParseError
@@ -48,7 +48,7 @@
 		}
 		return failure.New(failure.InvalidSettings, "", "%s: %s", name, err)
 	}
-	var found []Fault
+	var faults []Fault
 	known := knownKeys(s)
 	for _, key := range md.Undecoded() {
 		k := key.String()
@@ -56,29 +56,29 @@
 		if near := Nearest(k, known); near != "" {
 			reason += fmt.Sprintf("; did you mean %q?", near)
 		}
-		found = append(found, Fault{k, reason})
+		faults = append(faults, Fault{k, reason})
 	}
-	found = append(found, s.Faults()...)
-	if len(found) == 0 {
+	faults = append(faults, s.Faults()...)
+	if len(faults) == 0 {
 		return nil
 	}
-	sort.SliceStable(found, func(i, j int) bool { return lineOf(data, found[i].Key) < lineOf(data, found[j].Key) })
-	lines := make([]string, 0, len(found))
-	for _, f := range found {
-		lines = append(lines, format(name, data, f))
+	sort.SliceStable(faults, func(i, j int) bool { return lineOf(data, faults[i].Key) < lineOf(data, faults[j].Key) })
+	lines := make([]string, 0, len(faults))
+	for _, fault := range faults {
+		lines = append(lines, formatFault(name, data, fault))
 	}
 	return failure.New(failure.InvalidSettings, "", "%s", strings.Join(lines, "\n"))
 }
 
-func format(name string, data []byte, f Fault) string {
+func formatFault(name string, data []byte, f Fault) string {
 	if line := lineOf(data, f.Key); line > 0 {
 		return fmt.Sprintf("%s:%d: %s: %s", name, line, f.Key, f.Reason)
 	}
 	return fmt.Sprintf("%s: %s: %s", name, f.Key, f.Reason)
 }
 
-// lineOf finds the line of a dotted key; for a missing key the line of its
-// table; 0 when neither stands in the file.
+// lineOf returns the line number of a dotted key, or of its table if the key is
+// missing, or 0 if the file contains neither.
 func lineOf(data []byte, key string) int {
 	table, tableLine := "", 0
 	for i, line := range strings.Split(string(data), "\n") {
@@ -108,7 +108,8 @@
 	return tableLine
 }
 
-// Nearest returns the candidate within a small edit distance of word, or "".
+// Nearest returns the candidate with the smallest edit distance from word, or "" if all
+// distances exceed 3.
 func Nearest(word string, candidates []string) string {
 	best, bestDistance := "", 4
 	for _, c := range candidates {
@@ -119,7 +120,7 @@
 	return best
 }
 
-// distance is the Levenshtein distance.
+// distance returns the Levenshtein distance of a and b.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/adapter/settings/platform_test.go
+++ b/internal/adapter/settings/platform_test.go
@@ -9,8 +9,9 @@
 	"github.com/sesamefork/sesamefork/internal/core/quota"
 )
 
-// rendered fills a deploy template with the values of one host.
-func rendered(t *testing.T, name string, edits ...string) []byte {
+// renderTemplate returns a deployment template filled with the values of one host. edits are
+// pairs of strings to replace first.
+func renderTemplate(t *testing.T, name string, edits ...string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("../../../deploy/platform/" + name)
 	if err != nil {
@@ -28,36 +29,36 @@
 		"{{bounds.retry_window_s}}", "10", "{{seeds|json}}", `["10.1.0.38:8146","10.2.0.31:8146"]`, "{{heartbeat_ms}}", "1200", "{{bootstrap}}", "true",
 	)...).Replace(string(data))
 	if strings.Contains(text, "{{") {
-		t.Fatalf("a placeholder is left:\n%s", text)
+		t.Fatalf("unreplaced placeholder:\n%s", text)
 	}
 	return []byte(text)
 }
 
 func TestDeployTemplates(t *testing.T) {
 	e := DefaultEntry()
-	if err := Decode("entry", rendered(t, "entry.toml.tmpl"), e); err != nil {
+	if err := Decode("entry", renderTemplate(t, "entry.toml.tmpl"), e); err != nil {
 		t.Error(err)
 	}
 	if e.Retries.Slack != 58 || e.Limits.GraceS != 8 || e.Fleet.Regions["e1"] != "east" {
-		t.Errorf("read as %+v", e)
+		t.Errorf("decoded as %+v", e)
 	}
 	if seeds := e.Fleet.PeerSeeds(); len(seeds) != 2 || seeds[0] != "10.1.0.38:7660" {
 		t.Errorf("seeds %v", seeds)
 	}
 	c := DefaultControl()
-	if err := Decode("control", rendered(t, "control.toml.tmpl"), c); err != nil {
+	if err := Decode("control", renderTemplate(t, "control.toml.tmpl"), c); err != nil {
 		t.Error(err)
 	}
 	if !c.Fleet.Found || c.Store.Dir != "/data/x" {
-		t.Errorf("read as %+v", c)
+		t.Errorf("decoded as %+v", c)
 	}
 	if want := (quota.Bound{Window: 8 * time.Second, Excess: 0.1, Slack: 72000}); c.Quotas.Bound() != want {
-		t.Errorf("quotas read as %+v, want %+v", c.Quotas.Bound(), want)
+		t.Errorf("quotas decoded as %+v, want %+v", c.Quotas.Bound(), want)
 	}
 }
 
-// TestQuotasThatAreRefused names for each mistake the key at fault.
-func TestQuotasThatAreRefused(t *testing.T) {
+// TestInvalidQuotaSettings checks that the error for each invalid value names its key.
+func TestInvalidQuotaSettings(t *testing.T) {
 	cases := map[string]struct{ from, to, key string }{
 		"no window":       {"{{bounds.quota_window_s}}", "0", "quotas.window_s"},
 		"excess over one": {"{{bounds.quota_excess}}", "1.5", "quotas.excess"},
@@ -65,7 +66,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			err := Decode("control", rendered(t, "control.toml.tmpl", c.from, c.to), DefaultControl())
+			err := Decode("control", renderTemplate(t, "control.toml.tmpl", c.from, c.to), DefaultControl())
 			if err == nil || !strings.Contains(err.Error(), c.key) {
 				t.Errorf("got %v, want a fault that names %s", err, c.key)
 			}
@@ -73,8 +74,8 @@
 	}
 }
 
-// TestPlatformSettingsThatAreRefused names for each mistake the key at fault.
-func TestPlatformSettingsThatAreRefused(t *testing.T) {
+// TestInvalidPlatformSettings checks that the error for each invalid value names its key.
+func TestInvalidPlatformSettings(t *testing.T) {
 	cases := map[string]struct{ from, to, key string }{
 		"unknown interface":       {`interface = "platform"`, `interface = "other"`, "interface"},
 		"no seeds":                {"{{seeds|json}}", "[]", "fleet.seeds"},
@@ -88,7 +89,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			err := Decode("entry", rendered(t, "entry.toml.tmpl", c.from, c.to), DefaultEntry())
+			err := Decode("entry", renderTemplate(t, "entry.toml.tmpl", c.from, c.to), DefaultEntry())
 			if err == nil || !strings.Contains(err.Error(), c.key) {
 				t.Errorf("got %v, want a fault that names %s", err, c.key)
 			}
--- a/internal/adapter/settings/settings_test.go
+++ b/internal/adapter/settings/settings_test.go
@@ -9,8 +9,9 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// load reads a file of testdata as the settings that its name begins with.
-func load(t *testing.T, name string) error {
+// decodeTestdata decodes a testdata file as entry or control settings, according to its
+// name's first letter.
+func decodeTestdata(t *testing.T, name string) error {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -22,13 +23,13 @@
 	return Decode(name, data, DefaultControl())
 }
 
-// TestBadSettings compares every message with its golden file: all faults of a
-// file at once, with line, key and what would be right.
+// TestBadSettings compares the error for each invalid file with a golden file. An error
+// lists all faults of the file, each with line, key and the accepted values.
 func TestBadSettings(t *testing.T) {
 	g := goldie.New(t, goldie.WithFixtureDir("testdata"))
 	for _, name := range []string{"entry-bad.toml", "entry-syntax.toml", "entry-empty.toml", "control-bad.toml"} {
 		t.Run(name, func(t *testing.T) {
-			err := load(t, name)
+			err := decodeTestdata(t, name)
 			if err == nil {
 				t.Fatal("accepted")
 			}
@@ -37,9 +38,9 @@
 	}
 }
 
-// TestSampleSettingsAreGood loads the settings of all sample deployments. Days to play, in
-// deploy/days, are no settings.
-func TestSampleSettingsAreGood(t *testing.T) {
+// TestSampleSettingsAreValid loads the settings of all sample deployments. The files in
+// deploy/days are fault scenarios and not settings.
+func TestSampleSettingsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/*/*-*.toml")
 	files = slices.DeleteFunc(files, func(f string) bool { return filepath.Base(filepath.Dir(f)) == "days" })
 	if err != nil || len(files) < 24 {
--- a/internal/adapter/settings/tls.go
+++ b/internal/adapter/settings/tls.go
@@ -10,25 +10,25 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// TLSSource serves a TLS configuration from files and reads them again when
-// they change, so that keys are replaced without a restart.
+// TLSSource provides a TLS configuration from files and reloads them when they
+// change, so that keys can be rotated without a restart.
 type TLSSource struct {
-	files  TLS
-	mutual bool
-	mu     sync.Mutex
-	config *tls.Config
-	stamp  [3]time.Time
+	files          TLS
+	mutual         bool
+	mu             sync.Mutex
+	config         *tls.Config
+	loadedModTimes [3]time.Time
 }
 
-// Source returns the files' source, or nil when TLS is off. mutual requires the
-// CA: both ends must present certificates signed by it.
+// Source returns a TLSSource for the files, or nil if TLS is off. With mutual, a CA
+// file is required and both ends must present certificates signed by that CA.
 func (t TLS) Source(mutual bool) (*TLSSource, error) {
 	if t.Cert == "" {
 		return nil, nil
 	}
 	s := &TLSSource{files: t, mutual: mutual}
 	if mutual && t.CA == "" {
-		return nil, failure.New(failure.InvalidSettings, "", "mutual TLS needs a ca file")
+		return nil, failure.New(failure.InvalidSettings, "", "mutual TLS requires a ca file")
 	}
 	if err := s.reload(); err != nil {
 		return nil, err
@@ -36,8 +36,8 @@
 	return s, nil
 }
 
-// Config returns the configuration in force. While new files can't be read the
-// last good ones stay in force.
+// Config returns the current configuration. If changed files can't be loaded, it
+// returns the last one that was loaded.
 func (s *TLSSource) Config() *tls.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +47,8 @@
 	return s.config
 }
 
-// Server returns a configuration for a listener, which asks for the files'
-// content at each connection. A nil source gives nil: plain TCP.
+// Server returns a configuration for a listener, which calls Config for each
+// connection. For a nil source it returns nil, which means plain TCP.
 func (s *TLSSource) Server() *tls.Config {
 	if s == nil {
 		return nil
@@ -62,7 +62,7 @@
 }
 
 func (s *TLSSource) changed() bool {
-	return s.modTimes() != s.stamp
+	return s.modTimes() != s.loadedModTimes
 }
 
 func (s *TLSSource) modTimes() [3]time.Time {
@@ -76,7 +76,7 @@
 }
 
 func (s *TLSSource) reload() error {
-	stamp := s.modTimes()
+	modTimes := s.modTimes()
 	cert, err := tls.LoadX509KeyPair(s.files.Cert, s.files.Key)
 	if err != nil {
 		return failure.Wrap(err, failure.InvalidSettings, "")
@@ -94,16 +94,16 @@
 		c.ClientCAs, c.RootCAs = pool, pool
 		c.ClientAuth = tls.RequireAndVerifyClientCert
 		if s.mutual {
-			verifyByCA(c, pool)
+			verifyChainOnly(c, pool)
 		}
 	}
-	s.config, s.stamp = c, stamp
+	s.config, s.loadedModTimes = c, modTimes
 	return nil
 }
 
-// verifyByCA makes the dialing end check the chain but not the name: hosts
-// are known by IP addresses from the configuration, and the CA signs hosts only.
-func verifyByCA(c *tls.Config, pool *x509.CertPool) {
+// verifyChainOnly makes the dialing end verify the certificate chain but not the name:
+// the configuration identifies hosts by IP address, and the CA signs only hosts.
+func verifyChainOnly(c *tls.Config, pool *x509.CertPool) {
 	c.InsecureSkipVerify = true // replaced by VerifyConnection below
 	c.VerifyConnection = func(cs tls.ConnectionState) error {
 		opts := x509.VerifyOptions{Roots: pool, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
--- a/internal/adapter/settings/tls_test.go
+++ b/internal/adapter/settings/tls_test.go
@@ -24,20 +24,20 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// authority signs certificates for tests.
-type authority struct {
+// certAuthority signs certificates for the tests.
+type certAuthority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
+func newCA(t *testing.T) *certAuthority {
 	t.Helper()
-	a := &authority{}
+	a := &certAuthority{}
 	a.cert, a.key = issue(t, nil, 1)
 	return a
 }
 
-func issue(t *testing.T, a *authority, serial int64) (*x509.Certificate, *ecdsa.PrivateKey) {
+func issue(t *testing.T, a *certAuthority, serial int64) (*x509.Certificate, *ecdsa.PrivateKey) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -63,8 +63,9 @@
 	return cert, key
 }
 
-// files writes a certificate of the authority; at sets the files' time.
-func files(t *testing.T, a *authority, dir string, serial int64, at time.Time) settings.TLS {
+// writeFiles writes a certificate signed by a, its key and the CA certificate to dir, with
+// modification time at.
+func writeFiles(t *testing.T, a *certAuthority, dir string, serial int64, at time.Time) settings.TLS {
 	t.Helper()
 	cert, key := issue(t, a, serial)
 	der, err := x509.MarshalECPrivateKey(key)
@@ -85,12 +86,12 @@
 	return f
 }
 
-type silent struct{}
+type emptyHandler struct{}
 
-func (silent) HandleRequest(context.Context, *pb.Request) *pb.Response         { return &pb.Response{} }
-func (silent) HandleForward(context.Context, *pb.Request, port.IncomingStream) {}
+func (emptyHandler) HandleRequest(context.Context, *pb.Request) *pb.Response         { return &pb.Response{} }
+func (emptyHandler) HandleForward(context.Context, *pb.Request, port.IncomingStream) {}
 
-func source(t *testing.T, f settings.TLS) *settings.TLSSource {
+func newSource(t *testing.T, f settings.TLS) *settings.TLSSource {
 	t.Helper()
 	s, err := f.Source(true)
 	if err != nil {
@@ -100,9 +101,9 @@
 }
 
 func TestMutualTLSBetweenHosts(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
-	server := source(t, files(t, ours, t.TempDir(), 2, time.Now()))
-	srv, err := peerlink.NewServer("127.0.0.1:0", peerlink.Options{Key: []byte("k"), TLS: server.Config}, silent{}, logr.Discard())
+	hostCA, otherCA := newCA(t), newCA(t)
+	server := newSource(t, writeFiles(t, hostCA, t.TempDir(), 2, time.Now()))
+	srv, err := peerlink.NewServer("127.0.0.1:0", peerlink.Options{Key: []byte("k"), TLS: server.Config}, emptyHandler{}, logr.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,8 +115,8 @@
 		tls  func() *tls.Config
 		ok   bool
 	}{
-		{"same authority", source(t, files(t, ours, t.TempDir(), 3, time.Now())).Config, true},
-		{"other authority", source(t, files(t, theirs, t.TempDir(), 4, time.Now())).Config, false},
+		{"same authority", newSource(t, writeFiles(t, hostCA, t.TempDir(), 3, time.Now())).Config, true},
+		{"other authority", newSource(t, writeFiles(t, otherCA, t.TempDir(), 4, time.Now())).Config, false},
 		{"no TLS", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -129,9 +130,9 @@
 	}
 }
 
-func TestKeyFilesAreReadAgain(t *testing.T) {
-	a, dir, now := newAuthority(t), t.TempDir(), time.Now()
-	s := source(t, files(t, a, dir, 5, now))
+func TestReplacedKeyFilesAreReloaded(t *testing.T) {
+	a, dir, now := newCA(t), t.TempDir(), time.Now()
+	s := newSource(t, writeFiles(t, a, dir, 5, now))
 	serial := func() int64 {
 		c, err := x509.ParseCertificate(s.Config().Certificates[0].Certificate[0])
 		if err != nil {
@@ -142,7 +143,7 @@
 	if serial() != 5 {
 		t.Fatalf("serial %d", serial())
 	}
-	files(t, a, dir, 6, now.Add(time.Minute))
+	writeFiles(t, a, dir, 6, now.Add(time.Minute))
 	if serial() != 6 {
 		t.Errorf("serial %d after the files were replaced, want 6", serial())
 	}
@@ -150,12 +151,12 @@
 		t.Fatal(err)
 	}
 	if serial() != 6 {
-		t.Errorf("serial %d with an unreadable file, want the last good one", serial())
+		t.Errorf("serial %d with an invalid certificate file, want 6, the last one loaded", serial())
 	}
 }
 
-func TestMutualTLSNeedsAnAuthority(t *testing.T) {
-	f := files(t, newAuthority(t), t.TempDir(), 7, time.Now())
+func TestMutualTLSRequiresCA(t *testing.T) {
+	f := writeFiles(t, newCA(t), t.TempDir(), 7, time.Now())
 	f.CA = ""
 	if _, err := f.Source(true); !failure.Is(err, failure.InvalidSettings) {
 		t.Errorf("got %v", err)
--- a/internal/adapter/settings/types.go
+++ b/internal/adapter/settings/types.go
@@ -16,44 +16,44 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Host says where the process runs.
+// Host identifies the host that the process runs on.
 type Host struct {
-	// ID names the host. A replacement machine takes over the ID.
+	// ID is the name of the host. A replacement machine takes over the ID.
 	ID string `toml:"id"`
-	// Region and FailureDomain place the host.
+	// Region and FailureDomain are the location of the host.
 	Region        string `toml:"region"`
 	FailureDomain string `toml:"failure_domain"`
 }
 
 // Link configures the connections between hosts.
 type Link struct {
-	// Key is the hosts' shared key; KeyFile names a file that holds it. One of
-	// both is needed.
+	// Key is the key shared by all hosts. KeyFile is the path of a file that contains
+	// it. Exactly one of them must be set.
 	Key     string `toml:"key"`
 	KeyFile string `toml:"key_file"`
-	// Seeds are addresses of other hosts to ask at the start.
+	// Seeds are addresses of other hosts to contact at start-up.
 	Seeds []string `toml:"seeds"`
 	// Control are the peer addresses of the control hosts.
 	Control []string `toml:"control"`
-	// VerifyKey is the Ed25519 public key, in hex, of the control group's
-	// commit evidence.
+	// VerifyKey is the Ed25519 public key, in hex, that verifies the control
+	// group's commit evidence.
 	VerifyKey string `toml:"verify_key"`
-	// KeepAliveMS is the interval of keep-alives on a link, in ms (default 3000).
+	// KeepAliveMS is the interval of keep-alive messages on a link, in ms (default 3000).
 	KeepAliveMS int `toml:"keep_alive_ms"`
 }
 
-// TLS names the files of one listener. Empty names mean plain TCP. The files
-// are read again for each connection when they have changed.
+// TLS holds the paths of the TLS files of one listener. Without Cert and Key the
+// listener uses plain TCP. Changed files are reloaded at the next connection.
 type TLS struct {
 	Cert string `toml:"cert"`
 	Key  string `toml:"key"`
-	// CA verifies the other end; with it, certificates are required of clients.
+	// CA verifies the other end's certificate. If it is set, clients must present one.
 	CA string `toml:"ca"`
 }
 
-// Log configures the log.
+// Log configures logging.
 type Log struct {
-	// Level is the verbosity: 0 for info, 1 and up for debugging.
+	// Level is the verbosity: 0 for info, 1 and higher for debug messages.
 	Level int `toml:"level"`
 }
 
@@ -61,26 +61,26 @@
 type Trace struct {
 	// Exporter is "none", "file" or "otlp" (default "none").
 	Exporter string `toml:"exporter"`
-	// File receives JSON lines with exporter "file".
+	// File is the path of the JSON lines file that exporter "file" writes.
 	File string `toml:"file"`
-	// Endpoint is an IP address and port for OTLP over HTTP.
+	// Endpoint is the IP address and port of the OTLP/HTTP receiver.
 	Endpoint string `toml:"endpoint"`
-	// SampleRatio is the share of new traces recorded (0 to 1, default 1).
+	// SampleRatio is the fraction of new traces that is recorded (0 to 1, default 1).
 	SampleRatio float64 `toml:"sample_ratio"`
 }
 
-// Entry is the settings of sesame-entry.
+// Entry holds the settings of sesame-entry.
 type Entry struct {
 	SchemaVersion int `toml:"schema_version"`
-	// Interface is what callers speak: "sesame" or "platform" (default "sesame").
+	// Interface selects the API that callers use: "sesame" or "platform" (default "sesame").
 	Interface string `toml:"interface"`
-	// Fleet replaces the record's list of hosts with interface "platform".
+	// Fleet replaces the record's list of hosts if the interface is "platform".
 	Fleet Fleet `toml:"fleet"`
-	// Retries bounds repeats with interface "platform".
-	Retries Retries `toml:"retries"`
-	Host    Host    `toml:"host"`
-	Listen  Ports   `toml:"listen"`
-	Link    Link    `toml:"link"`
+	// Retries limits retries if the interface is "platform".
+	Retries Retries         `toml:"retries"`
+	Host    Host            `toml:"host"`
+	Listen  ListenAddresses `toml:"listen"`
+	Link    Link            `toml:"link"`
 	TLS     struct {
 		Caller TLS `toml:"caller"`
 		Peer   TLS `toml:"peer"`
@@ -90,18 +90,19 @@
 	Log       Log       `toml:"log"`
 	Trace     Trace     `toml:"trace"`
 	Directory Directory `toml:"directory"`
-	// Quarantine is about requests that crash the servers that run them.
+	// Quarantine configures the handling of requests that crash backend servers.
 	Quarantine Quarantine `toml:"quarantine"`
-	// Experiments is for measurements of the policy, not for service.
+	// Experiments is for measurements of the policy, not for production use.
 	Experiments Experiments `toml:"experiments"`
 }
 
-// Quarantine bounds what is remembered of requests that crash the servers that run them.
+// Quarantine limits the table of requests that crash the backend servers that run them.
 type Quarantine struct {
-	// MaxRequests is how many such requests, and others that were under way beside them, are
-	// remembered (default 4096). Those under which fewest servers ended yield first.
+	// MaxRequests is the capacity of the table, which also records requests that were running on
+	// a server when it crashed (default 4096). Requests with the fewest crashes are evicted first.
 	MaxRequests int `toml:"max_requests"`
-	// HoldS is how long a request is refused before it is tried once more, in s (default 600).
+	// HoldS is the time for which a request is refused before one trial is allowed, in s
+	// (default 600).
 	HoldS float64 `toml:"hold_s"`
 }
 
@@ -109,103 +110,106 @@
 	return Quarantine{MaxRequests: quarantine.DefaultCapacity, HoldS: quarantine.DefaultHold.Seconds()}
 }
 
-// Options returns the settings for a host.
+// Options returns the options of the quarantine table of an entry host.
 func (q Quarantine) Options(host string) quarantine.Options {
 	return quarantine.Options{Host: host, Capacity: q.MaxRequests, Hold: time.Duration(q.HoldS * float64(time.Second))}
 }
 
 func (c *collector) quarantine(q Quarantine) {
-	c.between("quarantine.max_requests", float64(q.MaxRequests), 64, 1<<20)
-	c.between("quarantine.hold_s", q.HoldS, 1, 7*24*3600)
+	c.inRange("quarantine.max_requests", float64(q.MaxRequests), 64, 1<<20)
+	c.inRange("quarantine.hold_s", q.HoldS, 1, 7*24*3600)
 }
 
-// Quotas is by how much all hosts together may pass teams' quotas.
+// Quotas limits by how much all hosts together may exceed teams' quotas.
 type Quotas struct {
-	// WindowS is the time over which what was sent is summed, in s (default 10).
+	// WindowS is the length of the window over which usage is summed, in s (default 10).
 	WindowS float64 `toml:"window_s"`
-	// Excess is a part of what a quota allows in the window (0 to 1, default 0.1).
+	// Excess is the permitted excess as a fraction of what a quota allows per window (0 to 1,
+	// default 0.1).
 	Excess float64 `toml:"excess"`
-	// Slack is in units of the quotas, in each window.
+	// Slack is an additional permitted excess, in quota units per window.
 	Slack float64 `toml:"slack"`
 }
 
 func defaultQuotas() Quotas { return Quotas{WindowS: 10, Excess: 0.1} }
 
-// Bound returns the settings for a control host.
+// Bound returns the limit that a control host enforces.
 func (q Quotas) Bound() quota.Bound {
 	return quota.Bound{Window: time.Duration(q.WindowS * float64(time.Second)), Excess: q.Excess, Slack: q.Slack}
 }
 
 func (c *collector) quotas(q Quotas) {
-	c.between("quotas.window_s", q.WindowS, 0.1, 3600)
-	c.between("quotas.excess", q.Excess, 0, 1)
-	c.between("quotas.slack", q.Slack, 0, 1e12)
+	c.inRange("quotas.window_s", q.WindowS, 0.1, 3600)
+	c.inRange("quotas.excess", q.Excess, 0, 1)
+	c.inRange("quotas.slack", q.Slack, 0, 1e12)
 }
 
-// Experiments changes the policy for a measurement.
+// Experiments changes the policy for measurements.
 type Experiments struct {
-	// Off names mechanisms to go without.
+	// Off lists the policy mechanisms to disable.
 	Off []string `toml:"off"`
 }
 
-// Ports are the addresses that sesame-entry listens on.
-type Ports struct {
+// ListenAddresses holds the addresses that sesame-entry listens on.
+type ListenAddresses struct {
 	// Caller serves callers and backend servers.
 	Caller string `toml:"caller"`
 	// Peer serves other hosts.
 	Peer string `toml:"peer"`
 	// Debug serves /debug/vars and explain to operators; empty for none.
 	Debug string `toml:"debug"`
-	// Ready serves the check whether the host should get requests, with interface
-	// "platform".
+	// Ready serves the readiness check if the interface is "platform".
 	Ready string `toml:"ready"`
 }
 
-// Limits bounds what callers may send.
+// Limits holds the request limits, shutdown times and memory limit of an entry host.
 type Limits struct {
-	// MaxBodyBytes bounds a request body (default 8 MiB).
+	// MaxBodyBytes is the maximum size of a request body, in bytes (default 8 MiB).
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
-	// BodyTimeoutMS bounds the arrival of headers and body (default 15000).
+	// BodyTimeoutMS is the time within which a request's headers and body must
+	// arrive, in ms (default 15000).
 	BodyTimeoutMS int `toml:"body_timeout_ms"`
-	// DrainTimeoutMS bounds a graceful shutdown (default 120000).
+	// DrainTimeoutMS is the maximum duration of a graceful shutdown, in ms (default 120000).
 	DrainTimeoutMS int `toml:"drain_timeout_ms"`
-	// DrainLingerMS is how long a host that shuts down goes on telling callers
-	// to use other hosts after its last request is finished (default 5000, the
-	// time to live of the lists).
+	// DrainLingerMS is how long a host that shuts down continues to direct callers
+	// to other hosts after its last request has finished, in ms (default 5000, the
+	// time to live of the host lists).
 	DrainLingerMS int `toml:"drain_linger_ms"`
-	// MaxExplained is how many requests explain remembers (default 2000).
+	// MaxExplained is the number of requests for which explain keeps the routing
+	// decision (default 2000).
 	MaxExplained int `toml:"max_explained"`
-	// StallTimeoutMS ends an attempt whose server sends nothing (default 30000).
+	// StallTimeoutMS is the time after which an attempt is ended if its backend
+	// server sends nothing, in ms (default 30000).
 	StallTimeoutMS int `toml:"stall_timeout_ms"`
 	// MemoryMB is the memory that the process may use, in MB; 0 for no limit.
 	MemoryMB int `toml:"memory_mb"`
-	// GraceS is the time from SIGTERM until the process is killed, in s, with
-	// interface "platform" (default 8).
+	// GraceS is the time from SIGTERM until the process is killed, in s, if the
+	// interface is "platform" (default 8).
 	GraceS float64 `toml:"grace_s"`
 }
 
 // Timing holds the intervals of the control traffic.
 type Timing struct {
-	// ProbeMS is the interval of membership probes (default 1000).
+	// ProbeMS is the interval of membership probes, in ms (default 1000).
 	ProbeMS int `toml:"probe_ms"`
-	// UpdateMS is the interval of updates inside a failure domain (default 1000).
+	// UpdateMS is the interval of updates within a failure domain, in ms (default 1000).
 	UpdateMS int `toml:"update_ms"`
-	// SummaryMS is the interval of summaries between failure domains (default 2000).
+	// SummaryMS is the interval of summaries between failure domains, in ms (default 2000).
 	SummaryMS int `toml:"summary_ms"`
-	// LeaseMS is the lease of a backend server's announcement (default 3000).
+	// LeaseMS is the lease of a backend server's announcement, in ms (default 3000).
 	LeaseMS int `toml:"lease_ms"`
-	// ClockSkewMS bounds the difference between the clocks of callers and
-	// hosts (default 5000); see the ledger's recovery.
+	// ClockSkewMS is the maximum difference between the clocks of callers and hosts, in
+	// ms (default 5000). The recovery of the ledger relies on it.
 	ClockSkewMS int `toml:"clock_skew_ms"`
 }
 
 // Directory configures the platform's client directory.
 type Directory struct {
-	// URL receives the list of entry hosts by PUT; empty for none.
+	// URL is the base URL to which the list of entry hosts is PUT; empty for none.
 	URL string `toml:"url"`
 }
 
-// DefaultEntry returns the defaults of sesame-entry.
+// DefaultEntry returns the default settings of sesame-entry.
 func DefaultEntry() *Entry {
 	return &Entry{
 		Interface: InterfaceSesame,
@@ -222,14 +226,14 @@
 	}
 }
 
-// Control is the settings of sesame-control.
+// Control holds the settings of sesame-control.
 type Control struct {
 	SchemaVersion int `toml:"schema_version"`
-	// Interface is what operators and backend servers speak: "sesame" or
+	// Interface selects the API that operators and backend servers use: "sesame" or
 	// "platform" (default "sesame").
 	Interface string `toml:"interface"`
-	// Fleet replaces group.members and the record's list of hosts with interface
-	// "platform".
+	// Fleet replaces group.members and the record's list of hosts if the interface
+	// is "platform".
 	Fleet  Fleet `toml:"fleet"`
 	Host   Host  `toml:"host"`
 	Limits struct {
@@ -237,12 +241,13 @@
 		MemoryMB int `toml:"memory_mb"`
 	} `toml:"limits"`
 	Listen struct {
-		// Directory tells callers which entry hosts to use, with interface "platform".
+		// Directory serves the list of entry hosts to callers if the interface is
+		// "platform".
 		Directory string `toml:"directory"`
-		// Debug serves /debug/vars without a key, with interface "platform"; empty
+		// Debug serves /debug/vars without a key if the interface is "platform"; empty
 		// for none.
 		Debug string `toml:"debug"`
-		// Operator serves the operators' HTTP.
+		// Operator serves the operators' HTTP API.
 		Operator string `toml:"operator"`
 		// Peer serves other hosts.
 		Peer string `toml:"peer"`
@@ -255,43 +260,42 @@
 		Peer     TLS `toml:"peer"`
 	} `toml:"tls"`
 	Orders Orders `toml:"orders"`
-	// Quotas is by how much teams' quotas may be passed.
+	// Quotas limits by how much teams' quotas may be exceeded.
 	Quotas Quotas `toml:"quotas"`
-	// Quarantine is about requests that crash the servers that run them.
+	// Quarantine configures the handling of requests that crash backend servers.
 	Quarantine Quarantine `toml:"quarantine"`
 	Log        Log        `toml:"log"`
 	Trace      Trace      `toml:"trace"`
 }
 
-// Store is the data folder.
+// Store configures the data folder.
 type Store struct {
-	// Dir is the folder.
 	Dir string `toml:"dir"`
 	// SnapshotEvery is the number of log entries between snapshots (default 256).
 	SnapshotEvery int `toml:"snapshot_every"`
 }
 
-// Group is the control group.
+// Group configures the control group.
 type Group struct {
-	// ID names the group; data folders of other groups are refused.
+	// ID is the name of the group. Data folders of other groups are rejected.
 	ID string `toml:"id"`
-	// Generation rises when the group is formed anew after a total loss.
+	// Generation must be raised when the group is formed again after the loss of all its data.
 	Generation uint64 `toml:"generation"`
 	// Members are the hosts that form the group at its first start.
 	Members []GroupMember `toml:"members"`
-	// SigningKey is the Ed25519 seed, in hex, of the commit evidence;
-	// SigningKeyFile names a file that holds it.
+	// SigningKey is the Ed25519 seed, in hex, that signs commit evidence.
+	// SigningKeyFile is the path of a file that contains it. Exactly one of them must be set.
 	SigningKey     string `toml:"signing_key"`
 	SigningKeyFile string `toml:"signing_key_file"`
-	// TickMS is the length of a consensus tick (default 200). A leader sends
-	// heartbeats every 2 ticks; an election follows 10 to 20 ticks without any.
+	// TickMS is the length of a consensus tick, in ms (default 200). A leader sends a
+	// heartbeat every 2 ticks. An election starts after 10 to 20 ticks without a heartbeat.
 	TickMS int `toml:"tick_ms"`
-	// BootstrapOperatorHash is the SHA-256 hash, in hex, of the key that may
-	// write the first record.
+	// BootstrapOperatorHash is the SHA-256 hash, in hex, of the operator key that is
+	// valid until the first record is accepted.
 	BootstrapOperatorHash string `toml:"bootstrap_operator_hash"`
 }
 
-// GroupMember is a control host.
+// GroupMember is a control host of the initial group.
 type GroupMember struct {
 	ID   string `toml:"id"`
 	Peer string `toml:"peer"`
@@ -299,13 +303,14 @@
 
 // Orders limits orders to model engines.
 type Orders struct {
-	// MaxOrderMS is the longest time an order can be under way (default 5000).
+	// MaxOrderMS is the maximum duration of an order, in ms (default 5000). A new leader waits
+	// for it before it sends orders to an engine that does not check fencing numbers.
 	MaxOrderMS int `toml:"max_order_ms"`
-	// LoadsPerMinute limits model loads from the weight store (default 6).
+	// LoadsPerMinute is the maximum rate of model loads from the weight store (default 6).
 	LoadsPerMinute float64 `toml:"loads_per_minute"`
 }
 
-// DefaultControl returns the defaults of sesame-control.
+// DefaultControl returns the default settings of sesame-control.
 func DefaultControl() *Control {
 	return &Control{
 		Interface: InterfaceSesame, Fleet: Fleet{HeartbeatMS: 1200},
@@ -317,7 +322,7 @@
 	}
 }
 
-// collector gathers faults.
+// collector accumulates the faults of a settings structure.
 type collector []Fault
 
 func (c *collector) fail(key, format string, args ...any) {
@@ -345,7 +350,7 @@
 	}
 }
 
-func (c *collector) between(key string, v, low, high float64) {
+func (c *collector) inRange(key string, v, low, high float64) {
 	if v < low || v > high {
 		c.fail(key, "%v is not between %v and %v", v, low, high)
 	}
@@ -370,12 +375,12 @@
 	if raw, err := hex.DecodeString(l.VerifyKey); err != nil || len(raw) != ed25519.PublicKeySize {
 		c.fail("link.verify_key", "is not an Ed25519 public key in hex; sesamectl keygen makes one")
 	}
-	c.between("link.keep_alive_ms", float64(l.KeepAliveMS), 100, 60_000)
+	c.inRange("link.keep_alive_ms", float64(l.KeepAliveMS), 100, 60_000)
 }
 
 func (c *collector) tls(key string, t TLS) {
 	if (t.Cert == "") != (t.Key == "") {
-		c.fail(key, "cert and key go together")
+		c.fail(key, "cert and key must be set together")
 	}
 }
 
@@ -389,7 +394,7 @@
 	if t.Exporter == "otlp" {
 		c.addr("trace.endpoint", t.Endpoint, false)
 	}
-	c.between("trace.sample_ratio", t.SampleRatio, 0, 1)
+	c.inRange("trace.sample_ratio", t.SampleRatio, 0, 1)
 }
 
 // Faults implements Checked.
@@ -403,27 +408,27 @@
 	c.link(e.Link)
 	c.tls("tls.caller", e.TLS.Caller)
 	c.tls("tls.peer", e.TLS.Peer)
-	c.between("limits.max_body_bytes", float64(e.Limits.MaxBodyBytes), 1, 1<<30)
-	c.between("limits.body_timeout_ms", float64(e.Limits.BodyTimeoutMS), 100, 600_000)
-	c.between("limits.drain_timeout_ms", float64(e.Limits.DrainTimeoutMS), 0, 3_600_000)
-	c.between("limits.drain_linger_ms", float64(e.Limits.DrainLingerMS), 0, 600_000)
-	c.between("limits.max_explained", float64(e.Limits.MaxExplained), 1, 1_000_000)
-	c.between("limits.stall_timeout_ms", float64(e.Limits.StallTimeoutMS), 100, 600_000)
-	c.between("timing.probe_ms", float64(e.Timing.ProbeMS), 50, 60_000)
-	c.between("timing.update_ms", float64(e.Timing.UpdateMS), 50, 60_000)
-	c.between("timing.summary_ms", float64(e.Timing.SummaryMS), 50, 60_000)
-	c.between("timing.lease_ms", float64(e.Timing.LeaseMS), 200, 60_000)
-	c.between("timing.clock_skew_ms", float64(e.Timing.ClockSkewMS), 0, 600_000)
+	c.inRange("limits.max_body_bytes", float64(e.Limits.MaxBodyBytes), 1, 1<<30)
+	c.inRange("limits.body_timeout_ms", float64(e.Limits.BodyTimeoutMS), 100, 600_000)
+	c.inRange("limits.drain_timeout_ms", float64(e.Limits.DrainTimeoutMS), 0, 3_600_000)
+	c.inRange("limits.drain_linger_ms", float64(e.Limits.DrainLingerMS), 0, 600_000)
+	c.inRange("limits.max_explained", float64(e.Limits.MaxExplained), 1, 1_000_000)
+	c.inRange("limits.stall_timeout_ms", float64(e.Limits.StallTimeoutMS), 100, 600_000)
+	c.inRange("timing.probe_ms", float64(e.Timing.ProbeMS), 50, 60_000)
+	c.inRange("timing.update_ms", float64(e.Timing.UpdateMS), 50, 60_000)
+	c.inRange("timing.summary_ms", float64(e.Timing.SummaryMS), 50, 60_000)
+	c.inRange("timing.lease_ms", float64(e.Timing.LeaseMS), 200, 60_000)
+	c.inRange("timing.clock_skew_ms", float64(e.Timing.ClockSkewMS), 0, 600_000)
 	c.trace(e.Trace)
 	c.quarantine(e.Quarantine)
-	c.outside(e.Interface)
+	c.interfaceName(e.Interface)
 	if e.Interface == InterfacePlatform {
 		c.addr("listen.ready", e.Listen.Ready, false)
 		c.fleet(e.Fleet, e.Host)
-		c.between("retries.ratio", e.Retries.Ratio, 0, 10)
-		c.between("retries.slack", e.Retries.Slack, 0, 1e6)
-		c.between("retries.window_s", e.Retries.WindowS, 0.1, 600)
-		c.between("limits.grace_s", e.Limits.GraceS, 0.5, 3600)
+		c.inRange("retries.ratio", e.Retries.Ratio, 0, 10)
+		c.inRange("retries.slack", e.Retries.Slack, 0, 1e6)
+		c.inRange("retries.window_s", e.Retries.WindowS, 0.1, 600)
+		c.inRange("limits.grace_s", e.Limits.GraceS, 0.5, 3600)
 	}
 	if _, f := dispatch.ParseMechanisms(e.Experiments.Off); f != nil {
 		c.fail("experiments.off", "%s", f.Detail)
@@ -444,11 +449,11 @@
 	if s.Store.Dir == "" {
 		c.fail("store.dir", "is needed")
 	}
-	c.between("store.snapshot_every", float64(s.Store.SnapshotEvery), 1, 1_000_000)
+	c.inRange("store.snapshot_every", float64(s.Store.SnapshotEvery), 1, 1_000_000)
 	c.name("group.id", s.Group.ID)
-	c.between("group.generation", float64(s.Group.Generation), 1, 1<<32)
-	c.between("group.tick_ms", float64(s.Group.TickMS), 5, 10_000)
-	c.outside(s.Interface)
+	c.inRange("group.generation", float64(s.Group.Generation), 1, 1<<32)
+	c.inRange("group.tick_ms", float64(s.Group.TickMS), 5, 10_000)
+	c.interfaceName(s.Interface)
 	if s.Interface == InterfacePlatform {
 		c.addr("listen.directory", s.Listen.Directory, false)
 		c.addr("listen.debug", s.Listen.Debug, true)
@@ -463,16 +468,16 @@
 	if (s.Group.SigningKey == "") == (s.Group.SigningKeyFile == "") {
 		c.fail("group.signing_key", "set exactly one of group.signing_key and group.signing_key_file")
 	}
-	c.between("orders.max_order_ms", float64(s.Orders.MaxOrderMS), 1, 600_000)
-	c.between("orders.loads_per_minute", s.Orders.LoadsPerMinute, 0, 10_000)
+	c.inRange("orders.max_order_ms", float64(s.Orders.MaxOrderMS), 1, 600_000)
+	c.inRange("orders.loads_per_minute", s.Orders.LoadsPerMinute, 0, 10_000)
 	c.trace(s.Trace)
 	c.quarantine(s.Quarantine)
 	c.quotas(s.Quotas)
 	return c
 }
 
-// HostKey returns the hosts' shared key.
-func (l Link) HostKey() ([]byte, error) { return secret(l.Key, l.KeyFile) }
+// HostKey returns the key shared by all hosts.
+func (l Link) HostKey() ([]byte, error) { return readSecret(l.Key, l.KeyFile) }
 
 // PublicKey returns the key that verifies commit evidence.
 func (l Link) PublicKey() ed25519.PublicKey {
@@ -480,12 +485,12 @@
 	return raw
 }
 
-// KeepAlive returns the interval of keep-alives.
+// KeepAlive returns the interval of keep-alive messages.
 func (l Link) KeepAlive() time.Duration { return time.Duration(l.KeepAliveMS) * time.Millisecond }
 
 // PrivateKey returns the key that signs commit evidence.
 func (g Group) PrivateKey() (ed25519.PrivateKey, error) {
-	text, err := secret(g.SigningKey, g.SigningKeyFile)
+	text, err := readSecret(g.SigningKey, g.SigningKeyFile)
 	if err != nil {
 		return nil, err
 	}
@@ -496,7 +501,7 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-func secret(value, file string) ([]byte, error) {
+func readSecret(value, file string) ([]byte, error) {
 	if file == "" {
 		return []byte(value), nil
 	}
