--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -1,4 +1,4 @@
-// Package operatorhttp serves the operators' HTTP of sesame-control.
+// Package operatorhttp serves the operators' HTTP API of sesame-control.
 package operatorhttp
 
 import (
@@ -23,7 +23,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// MaxRecordBytes bounds a configuration record.
+// MaxRecordBytes is the maximum size of a request body with a configuration record.
 const MaxRecordBytes = 8 << 20
 
 const (
@@ -31,7 +31,7 @@
 	replaceTimeout = 60 * time.Second
 )
 
-// Handler serves one control replica.
+// Handler serves the operators' API of one control replica.
 type Handler struct {
 	replica       *control.Replica
 	bootstrapHash string
@@ -39,8 +39,8 @@
 	router        *mux.Router
 }
 
-// New returns the handler. bootstrapHash is the SHA-256 hash, in hex, of the key
-// that is valid until the first record names operators.
+// New returns a handler for the replica. bootstrapHash is the SHA-256 hash, in hex, of
+// the key that is valid until the first record is accepted.
 func New(r *control.Replica, bootstrapHash string, log logr.Logger) *Handler {
 	h := &Handler{replica: r, bootstrapHash: bootstrapHash, log: log, router: mux.NewRouter()}
 	h.router.HandleFunc("/healthz", h.health).Methods(http.MethodGet)
@@ -68,9 +68,9 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
 
-type handlerFunc func(w http.ResponseWriter, r *http.Request, operator string) error
+type operatorHandler func(w http.ResponseWriter, r *http.Request, operator string) error
 
-func (h *Handler) handle(method, path string, write bool, f handlerFunc) {
+func (h *Handler) handle(method, path string, write bool, f operatorHandler) {
 	h.router.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 		operator, err := h.authenticate(r, write)
 		if err == nil {
@@ -94,21 +94,21 @@
 func (h *Handler) authenticate(r *http.Request, write bool) (string, error) {
 	hash, ok := BearerHash(r)
 	if !ok {
-		return "", failure.New(failure.Unauthorized, failure.NotRun, "an operator key is needed: Authorization: Bearer <key>")
+		return "", failure.New(failure.Unauthorized, failure.NotRun, "an operator key is required: Authorization: Bearer <key>")
 	}
 	record := h.replica.Accepted().Record
 	if record == nil {
 		if hash == h.bootstrapHash {
 			return "bootstrap", nil
 		}
-		return "", failure.New(failure.Unauthorized, failure.NotRun, "no operator is configured yet; only the bootstrap key is valid")
+		return "", failure.New(failure.Unauthorized, failure.NotRun, "no configuration record has been accepted yet; only the bootstrap key is valid")
 	}
-	o, known := record.OperatorByKey(hash)
-	if !known {
-		return "", failure.New(failure.Unauthorized, failure.NotRun, "the key belongs to no operator")
+	o, found := record.OperatorByKey(hash)
+	if !found {
+		return "", failure.New(failure.Unauthorized, failure.NotRun, "the key does not belong to a configured operator")
 	}
 	if write && o.ReadOnly {
-		return "", failure.New(failure.Forbidden, failure.NotRun, "operator %q may only read", o.Name)
+		return "", failure.New(failure.Forbidden, failure.NotRun, "operator %q has read-only access", o.Name)
 	}
 	return o.Name, nil
 }
@@ -132,7 +132,7 @@
 	Record        json.RawMessage `json:"record,omitempty"`
 }
 
-func configOf(a *pb.Accepted) Config {
+func newConfig(a *pb.Accepted) Config {
 	return Config{
 		Version: a.Version, SchemaVersion: a.SchemaVersion, Operator: a.Operator, Reason: a.Reason,
 		Time: time.UnixMilli(a.TimeMs).UTC(), ChangeID: a.ChangeId, Record: a.Record,
@@ -162,9 +162,9 @@
 		return err
 	}
 	if a == nil {
-		return failure.New(failure.NotFound, "", "no record was accepted yet")
+		return failure.New(failure.NotFound, "", "no configuration record has been accepted yet")
 	}
-	return writeJSON(w, configOf(a))
+	return writeJSON(w, newConfig(a))
 }
 
 func (h *Handler) getVersion(w http.ResponseWriter, r *http.Request, _ string) error {
@@ -174,17 +174,17 @@
 	}
 	for _, a := range h.replica.Accepted().Recent {
 		if a.Version == version {
-			return writeJSON(w, configOf(a))
+			return writeJSON(w, newConfig(a))
 		}
 	}
-	return failure.New(failure.NotFound, "", "version %d is not kept here", version)
+	return failure.New(failure.NotFound, "", "version %d is not among the recent versions that this control host keeps", version)
 }
 
 func (h *Handler) history(w http.ResponseWriter, _ *http.Request, _ string) error {
 	recent := h.replica.Accepted().Recent
 	out := make([]Config, 0, len(recent))
 	for _, a := range recent {
-		c := configOf(a)
+		c := newConfig(a)
 		c.Record = nil
 		out = append(out, c)
 	}
@@ -200,7 +200,7 @@
 	Record        json.RawMessage `json:"record"`
 }
 
-// ChangeResult is the answer to an accepted change.
+// ChangeResult is the response to an accepted change.
 type ChangeResult struct {
 	Version  uint64 `json:"version"`
 	ChangeID string `json:"change_id"`
@@ -212,7 +212,7 @@
 		return failure.Wrap(err, failure.BadRequest, failure.NotRun)
 	}
 	if len(data) > MaxRecordBytes {
-		return failure.New(failure.BodyTooLarge, failure.NotRun, "the body is over %d bytes", MaxRecordBytes)
+		return failure.New(failure.BodyTooLarge, failure.NotRun, "the request body exceeds %d bytes", MaxRecordBytes)
 	}
 	if err := json.Unmarshal(data, v); err != nil {
 		return failure.Wrap(err, failure.BadRequest, failure.NotRun)
@@ -249,7 +249,7 @@
 	return writeProto(w, st)
 }
 
-// ReplicaBody is the body of the replica calls.
+// ReplicaBody is the request body of the calls that add or replace a replica.
 type ReplicaBody struct {
 	// Address is the peer address of the new replica's host.
 	Address string `json:"address"`
@@ -288,10 +288,10 @@
 	Role    string `json:"role"`
 }
 
-// OrderResult is the answer to a carried out order.
+// OrderResult is the response to an order that was executed.
 type OrderResult struct {
-	Fence   uint64 `json:"fence"`
-	Checked bool   `json:"fence_checked"`
+	Fence   uint64 `json:"fence"`         // fencing number
+	Checked bool   `json:"fence_checked"` // whether the engine checked it
 }
 
 func (h *Handler) order(w http.ResponseWriter, r *http.Request, operator string) error {
--- a/internal/adapter/operatorhttp/quarantine.go
+++ b/internal/adapter/operatorhttp/quarantine.go
@@ -14,31 +14,31 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Suspect is the JSON form of a request under which servers ended.
+// Suspect is the JSON form of a request that was running on backend servers when they crashed.
 type Suspect struct {
 	Fingerprint string `json:"fingerprint"`
-	// Verdict is "quarantined" when the request is refused, "suspect" when it is tried where it
-	// does least harm.
+	// Verdict is "quarantined" if the request is refused, or "suspect" if it is routed to servers
+	// where a crash would affect few other requests.
 	Verdict string `json:"verdict"`
 	Team    string `json:"team"`
 	Service string `json:"service"`
-	Release string `json:"release,omitempty"` // of the server that ended last
+	Release string `json:"release,omitempty"` // of the server that crashed last
 	Crashes int    `json:"crashes"`
 	// LastCrashMS is the age of the last crash, in ms.
 	LastCrashMS int64 `json:"last_crash_ms"`
 }
 
-// Paths of the calls on requests that crash servers.
+// Paths of the quarantine calls.
 const (
 	quarantinePath = "/v1/quarantine"
 	suspectPath    = quarantinePath + "/{fingerprint:[0-9a-f]+}"
 )
 
 func (h *Handler) listQuarantine(w http.ResponseWriter, _ *http.Request, _ string) error {
-	return writeJSON(w, suspects(h.replica, time.Now()))
+	return writeJSON(w, listSuspects(h.replica, time.Now()))
 }
 
-func suspects(r *control.Replica, now time.Time) []Suspect {
+func listSuspects(r *control.Replica, now time.Time) []Suspect {
 	out := []Suspect{}
 	for _, e := range r.Quarantine() {
 		out = append(out, Suspect{
@@ -63,8 +63,8 @@
 	return writeJSON(w, map[string]string{"result": "lifted"})
 }
 
-// open serves a call without asking for a key.
-func open(f handlerFunc) http.HandlerFunc {
+// withoutKey adapts f to a handler that requires no operator key.
+func withoutKey(f operatorHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := f(w, r, "operator"); err != nil {
 			problem.Write(w, failure.As(err, failure.Unknown), "")
@@ -72,10 +72,9 @@
 	}
 }
 
-// MountQuarantine adds the calls on requests that crash servers to a router that operators
-// reach without a key.
+// MountQuarantine adds the quarantine calls to a router that serves operators without a key.
 func MountQuarantine(router *mux.Router, r *control.Replica, log logr.Logger) {
 	h := &Handler{replica: r, log: log}
-	router.HandleFunc(quarantinePath, open(h.listQuarantine)).Methods(http.MethodGet)
-	router.HandleFunc(suspectPath, open(h.liftQuarantine)).Methods(http.MethodDelete)
+	router.HandleFunc(quarantinePath, withoutKey(h.listQuarantine)).Methods(http.MethodGet)
+	router.HandleFunc(suspectPath, withoutKey(h.liftQuarantine)).Methods(http.MethodDelete)
 }
--- a/internal/adapter/operatorhttp/quotas.go
+++ b/internal/adapter/operatorhttp/quotas.go
@@ -8,25 +8,26 @@
 	"github.com/sesamefork/sesamefork/internal/app/control"
 )
 
-// TeamQuota is the JSON form of what one control host has of a team's quota, in the quota's
-// units. Rates and sums are of this control host alone.
+// TeamQuota is the JSON form of one control host's share of a team's quota, in the quota's
+// units. All figures cover this control host only.
 type TeamQuota struct {
 	Team string `json:"team"`
-	// Part is what it may give out in a window.
+	// Part is the amount that it may grant per window.
 	Part float64 `json:"part"`
+	// Free is the part of it that is not granted.
 	Free float64 `json:"free"`
-	// Borrowed and Lent are from and to other control hosts.
+	// Borrowed and Lent are the amounts borrowed from and lent to other control hosts.
 	Borrowed float64 `json:"borrowed"`
 	Lent     float64 `json:"lent"`
-	Held     float64 `json:"held"`  // by entry hosts
+	Held     float64 `json:"held"`  // granted to entry hosts and not spent
 	Spent    float64 `json:"spent"` // in the last window
-	// AskedPerSecond is what its entry hosts ask, and Refused what they needed and it did not
-	// have, since its start.
+	// AskedPerSecond is the rate that its entry hosts request. Refused is the amount that they
+	// needed and that was not available, summed since the process started.
 	AskedPerSecond float64 `json:"asked_per_second"`
 	Refused        float64 `json:"refused"`
 }
 
-// quotasPath is the path of the call on teams' quotas.
+// quotasPath is the path of the call that lists teams' quotas.
 const quotasPath = "/v1/quotas"
 
 func (h *Handler) listQuotas(w http.ResponseWriter, _ *http.Request, _ string) error {
@@ -37,8 +38,9 @@
 	return writeJSON(w, out)
 }
 
-// MountQuotas adds the call on teams' quotas to a router that operators reach without a key.
+// MountQuotas adds the call that lists teams' quotas to a router that serves operators without
+// a key.
 func MountQuotas(router *mux.Router, r *control.Replica) {
 	h := &Handler{replica: r}
-	router.HandleFunc(quotasPath, open(h.listQuotas)).Methods(http.MethodGet)
+	router.HandleFunc(quotasPath, withoutKey(h.listQuotas)).Methods(http.MethodGet)
 }
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -24,6 +24,6 @@
 	}
 	fmt.Fprintln(w, "CONTROL HOST\tFAILURE DOMAIN\tAGE MS\tHEARD")
 	for _, c := range fleet.Controls {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%t\n", c.Peer, c.FailureDomain, c.AgeMS, c.Heard)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%t\n", c.Peer, c.FailureDomain, c.AgeMS, c.Recent)
 	}
 }
--- a/internal/ctl/fleet_test.go
+++ b/internal/ctl/fleet_test.go
@@ -14,7 +14,7 @@
 	control := answering(t, "/v1/fleet", operatorhttp.FleetState{
 		Host: "10.0.0.1:7", FailureDomain: "w1", StalenessMS: 90,
 		Domains:  []operatorhttp.DomainState{{Name: "w1", EntryHosts: 41, Ready: 40, Presented: 12, Owned: 11, OldestHostMS: 300, Servers: 90, Announced: 25, OldestServerMS: 5200}},
-		Controls: []operatorhttp.ControlState{{Peer: "10.0.0.2:7", FailureDomain: "w1", AgeMS: 4000}},
+		Controls: []operatorhttp.ControlHostState{{Peer: "10.0.0.2:7", FailureDomain: "w1", AgeMS: 4000}},
 	})
 	for _, c := range []struct {
 		args []string
