--- a/internal/adapter/peerlink/client.go
+++ b/internal/adapter/peerlink/client.go
@@ -16,37 +16,37 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// Options configures both ends of the links.
+// Options configures either end of a link.
 type Options struct {
-	Key         []byte             // the hosts' shared key
+	Key         []byte             // the key shared by all hosts
 	TLS         func() *tls.Config // nil for plain TCP; called for each connection
 	Local       net.IP             // address to dial from; nil for any
 	DialTimeout time.Duration      // default 1 s
-	KeepAlive   time.Duration      // interval of the keep-alive; default 2 s
-	// Count is told of the bytes sent and received; nil for nobody.
+	KeepAlive   time.Duration      // interval of keep-alive messages; default 2 s
+	// Count, if not nil, is called with the number of bytes of each write and read.
 	Count func(sent, received int)
 }
 
-// counted wraps a connection so that Count is told of its bytes.
-func (o *Options) counted(conn net.Conn) net.Conn {
+// countBytes returns conn, wrapped so that its reads and writes call Count.
+func (o *Options) countBytes(conn net.Conn) net.Conn {
 	if o.Count == nil {
 		return conn
 	}
-	return &countedConn{conn, o.Count}
+	return &countingConn{conn, o.Count}
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	count func(sent, received int)
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(0, n)
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n, 0)
 	return n, err
@@ -61,17 +61,17 @@
 	}
 }
 
-// maxStreamWindow bounds the bytes a stream may have in flight unread.
+// maxStreamWindow is the maximum number of unread bytes per stream.
 const maxStreamWindow = 512 << 10
 
-// serverKeepAlives is how many times seldomer the end that accepted a link asks whether the
-// other one is there. The dialing end, whose calls wait, finds a lost link; the other one only
-// frees what it holds.
-const serverKeepAlives = 8
+// serverKeepAliveFactor multiplies the keep-alive interval at the accepting end of a link. The
+// dialing end must detect a lost link soon because its calls wait for it. The accepting end only
+// releases resources.
+const serverKeepAliveFactor = 8
 
 func (o *Options) serverConfig() *yamux.Config {
 	c := o.yamuxConfig()
-	c.KeepAliveInterval *= serverKeepAlives
+	c.KeepAliveInterval *= serverKeepAliveFactor
 	return c
 }
 
@@ -86,31 +86,32 @@
 	return c
 }
 
-// Client holds one session to each address that was called.
+// Client calls other hosts. It keeps one session to each address.
 type Client struct {
-	o        Options
-	dialTCP  func(ctx context.Context, network, addr string) (net.Conn, error)
-	mu       sync.Mutex
-	sessions map[string]*slot
-	closed   bool
+	o       Options
+	dialTCP func(ctx context.Context, network, addr string) (net.Conn, error)
+	mu      sync.Mutex
+	peers   map[string]*peer
+	closed  bool
 }
 
-// slot serialises dialling of one address.
-type slot struct {
+// peer holds the session to one address. Its mutex serialises dialling.
+type peer struct {
 	mu      sync.Mutex
 	session *session
-	failed  error
+	dialErr error
 	retryAt time.Time
 }
 
-// redialPause keeps an unreachable address from being dialled by every caller. A host
-// whose process is just starting refuses connections for a moment.
-const redialPause = 100 * time.Millisecond
+// redialBackoff is the time after a failed dial within which further calls to the address
+// fail at once. It limits the dials to an unreachable address, and is short because a host
+// refuses connections only briefly while its process starts.
+const redialBackoff = 100 * time.Millisecond
 
-// connectTry is how long one try to connect may take: two round trips between regions
-// 80 ms apart. The opening packet is lost on a bad link, or finds a host that has no
-// power yet, and the system sends it again only after a second.
-const connectTry = 350 * time.Millisecond
+// connectAttemptTimeout is the timeout of one connection attempt. It covers two round trips
+// between regions 80 ms apart. The operating system retransmits a SYN packet that was lost,
+// or was sent to a host that is still powered off, only after 1 s.
+const connectAttemptTimeout = 350 * time.Millisecond
 
 // NewClient returns a client without sessions.
 func NewClient(o Options) *Client {
@@ -119,39 +120,39 @@
 	if o.Local != nil {
 		d.LocalAddr = &net.TCPAddr{IP: o.Local}
 	}
-	return &Client{o: o, sessions: map[string]*slot{}, dialTCP: d.DialContext}
+	return &Client{o: o, peers: map[string]*peer{}, dialTCP: d.DialContext}
 }
 
 // Close ends all sessions.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
-	slots := c.sessions
-	c.sessions = map[string]*slot{}
+	peers := c.peers
+	c.peers = map[string]*peer{}
 	c.mu.Unlock()
-	for _, s := range slots {
-		s.mu.Lock()
-		if s.session != nil {
-			_ = s.session.Close()
+	for _, p := range peers {
+		p.mu.Lock()
+		if p.session != nil {
+			_ = p.session.Close()
 		}
-		s.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
 
-// Drop ends the session to an address that was found dead, so that requests
-// under way on it fail now and not at the keep-alive's timeout.
+// Drop closes the session to an address that was found to be dead, so that requests in
+// flight fail at once and not at the keep-alive timeout.
 func (c *Client) Drop(addr string) {
 	c.mu.Lock()
-	s := c.sessions[addr]
+	p := c.peers[addr]
 	c.mu.Unlock()
-	if s == nil {
+	if p == nil {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.session != nil {
-		_ = s.session.Close()
-		s.session = nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.session != nil {
+		_ = p.session.Close()
+		p.session = nil
 	}
 }
 
@@ -161,27 +162,27 @@
 		c.mu.Unlock()
 		return nil, failure.New(failure.PeerUnreachable, failure.NotRun, "the client is closed")
 	}
-	s := c.sessions[addr]
-	if s == nil {
-		s = &slot{}
-		c.sessions[addr] = s
+	p := c.peers[addr]
+	if p == nil {
+		p = &peer{}
+		c.peers[addr] = p
 	}
 	c.mu.Unlock()
 
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.session != nil && !s.session.IsClosed() {
-		return s.session, nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.session != nil && !p.session.IsClosed() {
+		return p.session, nil
 	}
-	if time.Now().Before(s.retryAt) {
-		return nil, s.failed
+	if time.Now().Before(p.retryAt) {
+		return nil, p.dialErr
 	}
 	session, err := c.dial(ctx, addr)
 	if err != nil {
-		s.failed, s.retryAt = err, time.Now().Add(redialPause)
+		p.dialErr, p.retryAt = err, time.Now().Add(redialBackoff)
 		return nil, err
 	}
-	s.session = session
+	p.session = session
 	return session, nil
 }
 
@@ -192,7 +193,7 @@
 	if err != nil {
 		return nil, failure.Wrap(err, failure.PeerUnreachable, failure.NotRun)
 	}
-	conn = c.o.counted(conn)
+	conn = c.o.countBytes(conn)
 	if c.o.TLS != nil {
 		t := tls.Client(conn, c.o.TLS())
 		if err := t.HandshakeContext(ctx); err != nil {
@@ -213,22 +214,22 @@
 	return newSession(mux), nil
 }
 
-// connect opens a TCP connection, with a new try as long as the last one got no answer.
+// connect opens a TCP connection. It retries attempts that time out until ctx ends.
 func (c *Client) connect(ctx context.Context, addr string) (net.Conn, error) {
 	for {
-		try, cancel := context.WithTimeout(ctx, connectTry)
-		conn, err := c.dialTCP(try, "tcp", addr)
-		silent := try.Err() != nil
+		attempt, cancel := context.WithTimeout(ctx, connectAttemptTimeout)
+		conn, err := c.dialTCP(attempt, "tcp", addr)
+		timedOut := attempt.Err() != nil
 		cancel()
-		if err == nil || !silent || ctx.Err() != nil {
+		if err == nil || !timedOut || ctx.Err() != nil {
 			return conn, errors.Trace(err)
 		}
 	}
 }
 
-// Call implements port.Peers. Calls to one host share a stream: each has a
-// number, and answers come in any order. A call that is given up leaves its
-// number behind, so that a late answer reaches nobody.
+// Call implements port.Peers. Calls to one host share a stream. Each call has a
+// number, and responses arrive in any order. The number of a call that was given up
+// is not reused, so that a late response to it is discarded.
 func (c *Client) Call(ctx context.Context, addr string, req *pb.Request) (*pb.Response, error) {
 	session, err := c.session(ctx, addr)
 	if err != nil {
@@ -244,7 +245,7 @@
 	return resp, nil
 }
 
-func (c *Client) open(ctx context.Context, addr string, req *pb.Request) (s *yamux.Stream, sent bool, err error) {
+func (c *Client) openStream(ctx context.Context, addr string, req *pb.Request) (s *yamux.Stream, sent bool, err error) {
 	session, err := c.session(ctx, addr)
 	if err != nil {
 		return nil, false, err
@@ -260,13 +261,13 @@
 	return stream, true, nil
 }
 
-// chunkSize is the size of the pieces in which a body travels.
+// chunkSize is the maximum size of a body chunk, in bytes.
 const chunkSize = 64 << 10
 
-// Open implements port.Peers. The body follows the request in chunks. The
-// stream ends with ctx.
+// Open implements port.Peers. It sends the request and then the body in chunks. The
+// stream is closed when ctx ends.
 func (c *Client) Open(ctx context.Context, addr string, req *pb.Request, body []byte) (port.ForwardStream, bool, error) {
-	stream, sent, err := c.open(ctx, addr, req)
+	stream, sent, err := c.openStream(ctx, addr, req)
 	if err != nil {
 		return nil, sent, err
 	}
--- a/internal/adapter/peerlink/frame.go
+++ b/internal/adapter/peerlink/frame.go
@@ -1,7 +1,7 @@
-// Package peerlink carries protobuf messages between hosts: length-prefixed
-// frames on yamux streams, one stream a request. A stream belongs to one request,
-// so late or repeated frames of one request never reach another, and a reader
-// that is slow holds up its own stream only.
+// Package peerlink carries protobuf messages between hosts as length-prefixed
+// frames on yamux streams. Each forward has its own stream, so that its late or
+// repeated frames never reach another request and a slow reader delays only its own
+// stream. Calls to one host share one stream and are matched by call number.
 package peerlink
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// MaxFrame bounds one message, in bytes.
+// MaxFrame is the maximum size of an encoded message, in bytes.
 const MaxFrame = 16 << 20
 
 const lengthSize = 4
 
-// WriteMessage writes one message as a frame.
+// WriteMessage writes m as one frame.
 func WriteMessage(w io.Writer, m proto.Message) error {
 	buf := make([]byte, lengthSize, lengthSize+proto.Size(m))
 	buf, err := proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(buf, m)
@@ -28,7 +28,7 @@
 	}
 	size := len(buf) - lengthSize
 	if size > MaxFrame {
-		return failure.New(failure.BodyTooLarge, "", "a frame of %d bytes is over the limit of %d", size, MaxFrame)
+		return failure.New(failure.BodyTooLarge, "", "a frame of %d bytes exceeds the limit of %d bytes", size, MaxFrame)
 	}
 	binary.BigEndian.PutUint32(buf, uint32(size))
 	_, err = w.Write(buf)
@@ -43,9 +43,9 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size > MaxFrame {
-		return failure.New(failure.BodyTooLarge, "", "a frame of %d bytes is over the limit of %d", size, MaxFrame)
+		return failure.New(failure.BodyTooLarge, "", "a frame of %d bytes exceeds the limit of %d bytes", size, MaxFrame)
 	}
-	// Memory grows with the bytes that arrive, not with the length claimed.
+	// Memory use grows with the bytes received, not with the length in the header.
 	buf, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil {
 		return errors.Trace(err)
--- a/internal/adapter/peerlink/handshake.go
+++ b/internal/adapter/peerlink/handshake.go
@@ -11,10 +11,10 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Before yamux starts, both ends prove that they hold the hosts' key: each sends
-// a random challenge and answers the other's with an HMAC over both challenges
-// and its own role. Without TLS this authenticates the connection's start only;
-// mutual TLS protects the bytes that follow.
+// Before yamux starts, both ends prove that they have the shared key: each sends a
+// random challenge and answers the other's with an HMAC over its own role and both
+// challenges. Without TLS this authenticates only the start of the connection. Mutual
+// TLS protects the bytes that follow.
 const (
 	challengeSize    = 32
 	handshakeTimeout = 3 * time.Second
@@ -23,30 +23,30 @@
 	listenerRole     = "listener"
 )
 
-func handshake(conn net.Conn, key []byte, own, other string) error {
+func handshake(conn net.Conn, key []byte, localRole, remoteRole string) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return failure.Wrap(err, failure.PeerUnreachable, failure.NotRun)
 	}
-	mine := make([]byte, challengeSize)
-	if _, err := rand.Read(mine); err != nil {
+	localChallenge := make([]byte, challengeSize)
+	if _, err := rand.Read(localChallenge); err != nil {
 		return failure.Wrap(err, failure.Internal, failure.NotRun)
 	}
-	if _, err := conn.Write(append([]byte(magic), mine...)); err != nil {
+	if _, err := conn.Write(append([]byte(magic), localChallenge...)); err != nil {
 		return failure.Wrap(err, failure.PeerUnreachable, failure.NotRun)
 	}
-	theirs, err := readChallenge(conn)
+	remoteChallenge, err := readChallenge(conn)
 	if err != nil {
 		return err
 	}
-	if _, err := conn.Write(proof(key, own, mine, theirs)); err != nil {
+	if _, err := conn.Write(proof(key, localRole, localChallenge, remoteChallenge)); err != nil {
 		return failure.Wrap(err, failure.PeerUnreachable, failure.NotRun)
 	}
-	answer := make([]byte, sha256.Size)
-	if _, err := io.ReadFull(conn, answer); err != nil {
+	remoteProof := make([]byte, sha256.Size)
+	if _, err := io.ReadFull(conn, remoteProof); err != nil {
 		return failure.Wrap(err, failure.PeerRefused, failure.NotRun)
 	}
-	if !hmac.Equal(answer, proof(key, other, theirs, mine)) {
-		return failure.New(failure.PeerRefused, failure.NotRun, "%s does not hold the hosts' key", conn.RemoteAddr())
+	if !hmac.Equal(remoteProof, proof(key, remoteRole, remoteChallenge, localChallenge)) {
+		return failure.New(failure.PeerRefused, failure.NotRun, "%s did not prove that it has the hosts' shared key", conn.RemoteAddr())
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return failure.Wrap(err, failure.PeerUnreachable, failure.NotRun)
@@ -60,7 +60,7 @@
 		return nil, failure.Wrap(err, failure.PeerUnreachable, failure.NotRun)
 	}
 	if string(buf[:len(magic)]) != magic {
-		return nil, failure.New(failure.PeerRefused, failure.NotRun, "%s does not speak this protocol", conn.RemoteAddr())
+		return nil, failure.New(failure.PeerRefused, failure.NotRun, "%s does not use the peer protocol", conn.RemoteAddr())
 	}
 	return buf[len(magic):], nil
 }
--- a/internal/adapter/peerlink/peerlink_test.go
+++ b/internal/adapter/peerlink/peerlink_test.go
@@ -22,10 +22,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echoHandler answers a probe with the sender's name, and a forward with its body.
+// echoHandler responds to a call with the sender's name and to a forward with its body.
 type echoHandler struct {
-	hold chan struct{} // a forward named "held" waits here
-	gone chan struct{} // closed when the held forward's caller leaves
+	release  chan struct{} // a forward named "held" waits here
+	canceled chan struct{} // closed when the client closes the held forward's stream
 }
 
 func (h *echoHandler) HandleRequest(_ context.Context, req *pb.Request) *pb.Response {
@@ -44,8 +44,8 @@
 		defer cancel()
 		select {
 		case <-ctx.Done():
-			close(h.gone)
-		case <-h.hold:
+			close(h.canceled)
+		case <-h.release:
 		}
 		return
 	}
@@ -53,15 +53,15 @@
 	_ = s.Send(&pb.ForwardFrame{Frame: &pb.ForwardFrame_End{End: &pb.ForwardEnd{Complete: true}}})
 }
 
-type link struct {
+type testLink struct {
 	server  *Server
 	client  *Client
 	handler *echoHandler
 }
 
-func newLink(t *testing.T, serverKey, clientKey string) *link {
+func newTestLink(t *testing.T, serverKey, clientKey string) *testLink {
 	t.Helper()
-	l := &link{handler: &echoHandler{hold: make(chan struct{}), gone: make(chan struct{})}}
+	l := &testLink{handler: &echoHandler{release: make(chan struct{}), canceled: make(chan struct{})}}
 	var err error
 	l.server, err = NewServer("127.0.0.1:0", Options{Key: []byte(serverKey)}, l.handler, logr.Discard())
 	if err != nil {
@@ -83,7 +83,7 @@
 	return l
 }
 
-func (l *link) forward(ctx context.Context, id string, body []byte) ([]byte, error) {
+func (l *testLink) forward(ctx context.Context, id string, body []byte) ([]byte, error) {
 	req := &pb.Request{Body: &pb.Request_Forward{Forward: &pb.Forward{RequestId: id, BodySize: uint64(len(body))}}}
 	s, _, err := l.client.Open(ctx, l.server.Addr(), req, body)
 	if err != nil {
@@ -97,10 +97,10 @@
 	return f.GetChunk(), nil
 }
 
-// TestAnswersReachTheirOwnRequest runs many forwards at once while one reader
-// does not read at all.
+// TestAnswersReachTheirOwnRequest runs 200 forwards concurrently on a link with one more
+// forward whose response is never read. Each must receive its own body.
 func TestAnswersReachTheirOwnRequest(t *testing.T) {
-	l := newLink(t, "k", "k")
+	l := newTestLink(t, "k", "k")
 	slow := &pb.Request{Body: &pb.Request_Forward{Forward: &pb.Forward{RequestId: "slow", BodySize: 900_000}}}
 	s, _, err := l.client.Open(context.Background(), l.server.Addr(), slow, bytes.Repeat([]byte("x"), 900_000))
 	if err != nil {
@@ -122,8 +122,8 @@
 	wg.Wait()
 }
 
-func TestCallerLeavingReachesTheOtherEnd(t *testing.T) {
-	l := newLink(t, "k", "k")
+func TestStreamCancellationReachesServer(t *testing.T) {
+	l := newTestLink(t, "k", "k")
 	ctx, cancel := context.WithCancel(context.Background())
 	req := &pb.Request{Body: &pb.Request_Forward{Forward: &pb.Forward{RequestId: "held"}}}
 	s, _, err := l.client.Open(ctx, l.server.Addr(), req, nil)
@@ -131,12 +131,12 @@
 		t.Fatal(err)
 	}
 	cancel()
-	<-l.handler.gone
+	<-l.handler.canceled
 	_ = s.Close()
 }
 
 func TestWrongKeyIsRefused(t *testing.T) {
-	l := newLink(t, "right", "wrong")
+	l := newTestLink(t, "right", "wrong")
 	_, err := l.client.Call(context.Background(), l.server.Addr(), &pb.Request{From: "h"})
 	if !failure.Is(err, failure.PeerRefused) {
 		t.Errorf("got %v, want %s", err, failure.PeerRefused)
@@ -144,7 +144,7 @@
 }
 
 func TestOtherProtocolIsRefused(t *testing.T) {
-	l := newLink(t, "k", "k")
+	l := newTestLink(t, "k", "k")
 	conn, err := net.Dial("tcp", l.server.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -155,7 +155,7 @@
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if rest, err := io.ReadAll(conn); err == nil && len(rest) > len(magic)+challengeSize {
-		t.Errorf("answered with %d bytes", len(rest))
+		t.Errorf("received %d bytes after an invalid handshake", len(rest))
 	}
 }
 
@@ -217,13 +217,14 @@
 	}
 }
 
-// TestConnectTriesAgain loses the opening packet of the first try, as a host does that
-// has no power yet: the second try must follow while the first would still wait.
+// TestConnectTriesAgain leaves the first connection attempt unanswered, as when its SYN packet
+// is lost or the host is powered off. The second attempt must start when the first one times
+// out, before the operating system would retransmit.
 func TestConnectTriesAgain(t *testing.T) {
-	l := newLink(t, "key", "key")
-	dial, tries := l.client.dialTCP, 0
+	l := newTestLink(t, "key", "key")
+	dial, attempts := l.client.dialTCP, 0
 	l.client.dialTCP = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if tries++; tries == 1 {
+		if attempts++; attempts == 1 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -234,15 +235,15 @@
 	if _, err := l.client.Call(ctx, l.server.Addr(), &pb.Request{From: "a"}); err != nil {
 		t.Fatal(err)
 	}
-	if tries != 2 {
-		t.Errorf("%d tries, want 2", tries)
+	if attempts != 2 {
+		t.Errorf("%d attempts, want 2", attempts)
 	}
 }
 
-// TestConnectGivesUp leaves every try without an answer: the call ends when the time
-// for dialling is over.
-func TestConnectGivesUp(t *testing.T) {
-	l := newLink(t, "key", "key")
+// TestConnectTimesOutWithoutAnswer leaves all connection attempts unanswered. The call must
+// fail at the dial timeout.
+func TestConnectTimesOutWithoutAnswer(t *testing.T) {
+	l := newTestLink(t, "key", "key")
 	l.client.dialTCP = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/adapter/peerlink/server.go
+++ b/internal/adapter/peerlink/server.go
@@ -16,7 +16,7 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// incoming is the server's end of a request's stream.
+// incoming is the server's end of a forward's stream.
 type incoming struct {
 	s *yamux.Stream
 }
@@ -24,7 +24,7 @@
 // Body implements port.IncomingStream.
 func (s incoming) Body(size uint64, limit uint64) ([]byte, error) {
 	if size > limit {
-		return nil, failure.New(failure.BodyTooLarge, failure.NotRun, "a body of %d bytes is over the limit of %d", size, limit)
+		return nil, failure.New(failure.BodyTooLarge, failure.NotRun, "a body of %d bytes exceeds the limit of %d bytes", size, limit)
 	}
 	body := make([]byte, 0, min(size, chunkSize))
 	for uint64(len(body)) < size {
@@ -33,7 +33,7 @@
 			return nil, errors.Trace(err)
 		}
 		if len(c.Data) == 0 || uint64(len(body)+len(c.Data)) > size {
-			return nil, failure.New(failure.BadRequest, failure.NotRun, "the body does not have the stated size")
+			return nil, failure.New(failure.BadRequest, failure.NotRun, "the body chunks do not add up to the stated body size")
 		}
 		body = append(body, c.Data...)
 	}
@@ -62,23 +62,24 @@
 	ln      net.Listener
 	wg      sync.WaitGroup
 	mu      sync.Mutex
-	open    map[net.Conn]bool
+	conns   map[net.Conn]bool
 }
 
-// NewServer listens on addr.
+// NewServer returns a server that listens on addr.
 func NewServer(addr string, o Options, h port.PeerHandler, log logr.Logger) (*Server, error) {
 	o.setDefaults()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.InvalidSettings, "")
 	}
-	return &Server{o: o, handler: h, log: log, ln: ln, open: map[net.Conn]bool{}}, nil
+	return &Server{o: o, handler: h, log: log, ln: ln, conns: map[net.Conn]bool{}}, nil
 }
 
-// Addr returns the address listened on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Run accepts links until ctx ends, then closes them all and waits.
+// Run accepts links until ctx ends, then closes all links and waits until their requests
+// have returned.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.closeAll)
 	defer stop()
@@ -107,11 +108,11 @@
 func (s *Server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open == nil {
+	if s.conns == nil {
 		_ = conn.Close()
 		return false
 	}
-	s.open[conn] = true
+	s.conns[conn] = true
 	return true
 }
 
@@ -119,21 +120,21 @@
 	_ = conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, conn)
+	delete(s.conns, conn)
 }
 
 func (s *Server) closeAll() {
 	_ = s.ln.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for conn := range s.open {
+	for conn := range s.conns {
 		_ = conn.Close()
 	}
-	s.open = nil
+	s.conns = nil
 }
 
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
-	conn = s.o.counted(conn)
+	conn = s.o.countBytes(conn)
 	if s.o.TLS != nil {
 		t := tls.Server(conn, s.o.TLS())
 		if err := t.HandshakeContext(ctx); err != nil {
@@ -160,20 +161,20 @@
 		go func() {
 			defer s.wg.Done()
 			defer func() { _ = stream.Close() }()
-			s.answer(ctx, stream)
+			s.serveStream(ctx, stream)
 		}()
 	}
 }
 
-// requestTimeout bounds the arrival of a request's first frame.
+// requestTimeout is the timeout for reading a stream's first frame and for writing a response.
 const requestTimeout = 10 * time.Second
 
-// answer serves one stream: a forward, or calls one after the other.
-func (s *Server) answer(ctx context.Context, stream *yamux.Stream) {
+// serveStream serves one stream, which carries either one forward or any number of calls.
+func (s *Server) serveStream(ctx context.Context, stream *yamux.Stream) {
 	_ = stream.SetReadDeadline(time.Now().Add(requestTimeout))
 	req := new(pb.Request)
 	if err := ReadMessage(stream, req); err != nil {
-		s.refuse(stream, err)
+		s.sendRefusal(stream, err)
 		return
 	}
 	_ = stream.SetReadDeadline(time.Time{})
@@ -184,10 +185,10 @@
 	s.serveCalls(ctx, stream, req)
 }
 
-// serveCalls answers calls as they are done. A stream of calls lives as long as
-// its session.
+// serveCalls serves the calls on a stream concurrently and sends each response when it
+// is ready. The stream stays open as long as its session.
 func (s *Server) serveCalls(ctx context.Context, stream *yamux.Stream, req *pb.Request) {
-	var writing sync.Mutex
+	var writeMu sync.Mutex
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for {
@@ -196,22 +197,21 @@
 			defer calls.Done()
 			resp := s.handler.HandleRequest(ctx, req)
 			resp.Call = req.Call
-			writing.Lock()
-			defer writing.Unlock()
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			_ = stream.SetWriteDeadline(time.Now().Add(requestTimeout))
 			_ = WriteMessage(stream, resp)
 		}(req)
 		req = new(pb.Request)
 		if err := ReadMessage(stream, req); err != nil {
-			s.refuse(stream, err)
+			s.sendRefusal(stream, err)
 			return
 		}
 	}
 }
 
-// refuse tells the other end what was wrong with its frame, when it can still
-// be told.
-func (s *Server) refuse(stream *yamux.Stream, err error) {
+// sendRefusal reports an invalid frame to the other end, unless the stream has ended.
+func (s *Server) sendRefusal(stream *yamux.Stream, err error) {
 	f := failure.As(err, failure.NotRun)
 	if f.Code == failure.Internal {
 		return // the stream ended
--- a/internal/adapter/peerlink/session.go
+++ b/internal/adapter/peerlink/session.go
@@ -10,23 +10,23 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// session is a yamux session with the stream that its calls share. A stream for
-// each call cost five small frames more.
+// session is a yamux session with the stream that its calls share. A separate stream
+// per call would cost five more small frames.
 type session struct {
 	*yamux.Session
 
-	mu      sync.Mutex
-	stream  *yamux.Stream // opened with the first call
-	next    uint64
-	pending map[uint64]chan *pb.Response
-	broken  error
+	mu       sync.Mutex
+	stream   *yamux.Stream // opened by the first call
+	lastCall uint64
+	pending  map[uint64]chan *pb.Response
+	closeErr error
 }
 
 func newSession(mux *yamux.Session) *session {
 	return &session{Session: mux, pending: map[uint64]chan *pb.Response{}}
 }
 
-// call sends a request on the shared stream and waits for its answer.
+// call sends a request on the shared stream and waits for its response.
 func (s *session) call(ctx context.Context, req *pb.Request) (*pb.Response, error) {
 	answer, number, err := s.send(req)
 	if err != nil {
@@ -35,7 +35,7 @@
 	select {
 	case resp, ok := <-answer:
 		if !ok {
-			return nil, failure.New(failure.PeerUnreachable, failure.Unknown, "the link broke before the answer")
+			return nil, failure.New(failure.PeerUnreachable, failure.Unknown, "the link was closed before the response")
 		}
 		return resp, nil
 	case <-ctx.Done():
@@ -50,35 +50,35 @@
 func (s *session) send(req *pb.Request) (answer chan *pb.Response, number uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken != nil {
-		return nil, 0, failure.Wrap(s.broken, failure.PeerUnreachable, failure.NotRun)
+	if s.closeErr != nil {
+		return nil, 0, failure.Wrap(s.closeErr, failure.PeerUnreachable, failure.NotRun)
 	}
 	if s.stream == nil {
 		if s.stream, err = s.OpenStream(); err != nil {
-			s.breakLocked(err)
+			s.closeLocked(err)
 			return nil, 0, failure.Wrap(err, failure.PeerUnreachable, failure.NotRun)
 		}
 		go s.receive(s.stream)
 	}
-	s.next++
-	number = s.next
+	s.lastCall++
+	number = s.lastCall
 	answer = make(chan *pb.Response, 1)
 	s.pending[number] = answer
 	req.Call = number
 	if err := WriteMessage(s.stream, req); err != nil {
-		s.breakLocked(err)
+		s.closeLocked(err)
 		return nil, 0, failure.Wrap(err, failure.PeerUnreachable, failure.Unknown)
 	}
 	return answer, number, nil
 }
 
-// receive hands answers to the calls that wait for them, until the stream ends.
+// receive passes responses to the waiting calls until the stream ends.
 func (s *session) receive(stream *yamux.Stream) {
 	for {
 		resp := new(pb.Response)
 		if err := ReadMessage(stream, resp); err != nil {
 			s.mu.Lock()
-			s.breakLocked(err)
+			s.closeLocked(err)
 			s.mu.Unlock()
 			return
 		}
@@ -92,12 +92,13 @@
 	}
 }
 
-// breakLocked ends the session: every call that waits fails.
-func (s *session) breakLocked(err error) {
-	if s.broken != nil {
+// closeLocked closes the session because of err, so that all waiting calls fail. The caller
+// holds s.mu.
+func (s *session) closeLocked(err error) {
+	if s.closeErr != nil {
 		return
 	}
-	s.broken = err
+	s.closeErr = err
 	for number, answer := range s.pending {
 		delete(s.pending, number)
 		close(answer)
