--- a/internal/adapter/journal/full_test.go
+++ b/internal/adapter/journal/filesize_test.go
@@ -11,9 +11,9 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// TestRealFileThatMayNotGrow meets a limit on the size of files, set for this process, in
-// the middle of a record, lifts it, and opens the store anew: all that was acknowledged is
-// there and more can be appended.
+// TestRealFileThatMayNotGrow appends until a record exceeds RLIMIT_FSIZE, as on a full disk,
+// then removes the limit and reopens the store. All acknowledged records must be there and
+// further appends must succeed.
 func TestRealFileThatMayNotGrow(t *testing.T) {
 	signal.Ignore(syscall.SIGXFSZ)
 	defer signal.Reset(syscall.SIGXFSZ)
@@ -51,8 +51,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = j.Close() }()
-	if last(st) != acknowledged {
-		t.Errorf("last entry %d, acknowledged %d", last(st), acknowledged)
+	if lastIndex(st) != acknowledged {
+		t.Errorf("last entry %d, acknowledged %d", lastIndex(st), acknowledged)
 	}
 	if err := j.Append(&pb.JournalRecord{Entries: []*pb.RaftEntry{entry(acknowledged + 1)}}); err != nil {
 		t.Error(err)
--- a/internal/adapter/journal/journal.go
+++ b/internal/adapter/journal/journal.go
@@ -1,17 +1,18 @@
-// Package journal keeps a replica's log and snapshots in files under one data
-// folder. A record is durable when Append returns; after a failed write or sync
-// the journal refuses everything, since what the disk holds is then unknown.
+// Package journal stores a replica's log and snapshots as files in one data
+// folder. A record is durable when Append returns. After a failed write or sync
+// the journal rejects all further writes, because the content of the disk is then
+// unknown.
 //
 // Files:
 //
-//	identity.json  written once by Format
-//	wal-N          the current segment of records; a higher N replaces a lower
-//	snap-N         the snapshot that segment N starts from
+//	identity.json  the store's identity, written once by Format
+//	wal-N          the current segment of records; the highest N is in force
+//	snap-N         the snapshot on which segment N is based
 //
-// A record is framed as length, CRC of the length, CRC of the data (each 4
-// bytes, big endian) and the data. A frame that is incomplete at the end of the
-// file was never acknowledged and is cut; a damaged frame with a whole frame
-// behind it is refused.
+// A frame consists of the record's length, the CRC of the length, the CRC of the
+// record (each 4 bytes, big endian) and the record. If a valid frame follows a damaged
+// one, the segment is corrupt and Open fails. Otherwise the damaged frame is assumed to
+// be an incomplete write, which was never acknowledged, and is truncated.
 package journal
 
 import (
@@ -32,29 +33,30 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// FormatVersion is the version of the files that this build writes and reads.
+// FormatVersion is the version of the file format that this build writes and the highest
+// that it reads.
 const FormatVersion = 1
 
 const (
-	identityName = "identity.json"
-	walPrefix    = "wal-"
-	snapPrefix   = "snap-"
-	headerSize   = 12
-	maxRecord    = 256 << 20
-	dirMode      = 0o700
-	fileMode     = 0o600
+	identityName  = "identity.json"
+	walPrefix     = "wal-"
+	snapPrefix    = "snap-"
+	headerSize    = 12
+	maxRecordSize = 256 << 20
+	dirMode       = 0o700
+	fileMode      = 0o600
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// File is the part of os.File that the journal needs.
+// File is the subset of os.File that the journal uses.
 type File interface {
 	Write(p []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// FS is the file system below the journal. Tests inject faults here.
+// FS is the file system that holds the journal. Tests implement it to inject faults.
 type FS interface {
 	Create(name string) (File, error)
 	OpenAppend(name string) (File, error)
@@ -76,7 +78,7 @@
 	failed error
 }
 
-// IsFormatted reports whether the folder holds a store.
+// IsFormatted reports whether the folder contains a store.
 func IsFormatted(fsys FS, dir string) (bool, error) {
 	_, err := fsys.ReadFile(filepath.Join(dir, identityName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -85,7 +87,7 @@
 	return err == nil, err
 }
 
-// Format writes a new store's identity into an empty folder.
+// Format creates a store in an empty folder by writing its identity.
 func Format(fsys FS, dir string, id port.Identity) error {
 	if err := fsys.MkdirAll(dir); err != nil {
 		return failure.Wrap(err, failure.JournalFailed, "")
@@ -106,15 +108,15 @@
 	return j.writeFile(identityName, data)
 }
 
-// Open reads the store in the folder and opens it for appending. host must be
-// the host that formatted it.
+// Open reads the store in the folder and opens it for appending. host must equal the
+// host in the store's identity.
 func Open(fsys FS, dir, host string) (*Journal, *port.JournalState, error) {
 	j := &Journal{fs: fsys, dir: dir}
 	st := &port.JournalState{}
 	if err := j.readIdentity(host, &st.Identity); err != nil {
 		return nil, nil, err
 	}
-	if err := j.findSegment(); err != nil {
+	if err := j.selectSegment(); err != nil {
 		return nil, nil, err
 	}
 	if err := j.readSnapshot(st); err != nil {
@@ -156,8 +158,9 @@
 	return nil
 }
 
-// findSegment picks the highest segment and removes what older ones left.
-func (j *Journal) findSegment() error {
+// selectSegment selects the highest segment and removes the files of older segments and
+// temporary files.
+func (j *Journal) selectSegment() error {
 	names, err := j.fs.ReadDir(j.dir)
 	if err != nil {
 		return failure.Wrap(err, failure.JournalFailed, "")
@@ -167,13 +170,13 @@
 			j.seq = seq
 		}
 	}
-	// The names of the segment that is in force must last before older ones are removed: a
-	// power loss may keep the removal and lose the rename.
+	// The directory entries of the selected segment must be durable before older segments are
+	// removed, because a power loss may preserve the removal and lose the rename.
 	if err := j.fs.SyncDir(j.dir); err != nil {
 		return failure.Wrap(err, failure.JournalFailed, "")
 	}
 	for _, e := range names {
-		if j.isLeftover(e.Name()) {
+		if j.isObsolete(e.Name()) {
 			if err := j.fs.Remove(filepath.Join(j.dir, e.Name())); err != nil {
 				return failure.Wrap(err, failure.JournalFailed, "")
 			}
@@ -182,7 +185,7 @@
 	return nil
 }
 
-func (j *Journal) isLeftover(name string) bool {
+func (j *Journal) isObsolete(name string) bool {
 	if strings.HasSuffix(name, ".tmp") {
 		return true
 	}
@@ -211,7 +214,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.JournalCorrupt, "")
 	}
-	payload, _, ok := readFrame(data)
+	payload, _, ok := decodeFrame(data)
 	if !ok {
 		return failure.New(failure.JournalCorrupt, "", "snapshot %d is damaged", j.seq)
 	}
@@ -220,7 +223,7 @@
 		return failure.Wrap(err, failure.JournalCorrupt, "")
 	}
 	if st.Snapshot.Index == 0 {
-		st.Snapshot = nil // a segment that was rewritten before the first snapshot
+		st.Snapshot = nil // Reopen rewrote the segment before the first snapshot
 	}
 	return nil
 }
@@ -236,7 +239,7 @@
 	}
 	offset := 0
 	for offset < len(data) {
-		payload, size, ok := readFrame(data[offset:])
+		payload, size, ok := decodeFrame(data[offset:])
 		if !ok {
 			break
 		}
@@ -244,7 +247,7 @@
 		if err := proto.Unmarshal(payload, rec); err != nil {
 			return failure.Wrap(err, failure.JournalCorrupt, "")
 		}
-		replay(st, rec)
+		applyRecord(st, rec)
 		offset += size
 	}
 	if offset == len(data) {
@@ -252,7 +255,7 @@
 	}
 	if at, found := findFrame(data, offset+1); found {
 		return failure.New(failure.JournalCorrupt, "",
-			"%s is damaged at byte %d: a whole record follows at byte %d", name, offset, at)
+			"%s is damaged at byte %d: a valid record follows at byte %d", name, offset, at)
 	}
 	st.CutBytes = int64(len(data) - offset)
 	if err := j.fs.Truncate(name, int64(offset)); err != nil {
@@ -261,8 +264,9 @@
 	return nil
 }
 
-// replay applies a record: an entry replaces all entries from its index on.
-func replay(st *port.JournalState, rec *pb.JournalRecord) {
+// applyRecord applies a record to st. An entry replaces all entries with the same or a higher
+// index.
+func applyRecord(st *port.JournalState, rec *pb.JournalRecord) {
 	if rec.HardState != nil {
 		st.HardState = rec.HardState
 	}
@@ -274,9 +278,8 @@
 	}
 }
 
-// readFrame returns the payload of the frame at the start of data and the
-// frame's whole size.
-func readFrame(data []byte) (payload []byte, size int, ok bool) {
+// decodeFrame returns the payload and the total size of the frame at the start of data.
+func decodeFrame(data []byte) (payload []byte, size int, ok bool) {
 	if len(data) < headerSize {
 		return nil, 0, false
 	}
@@ -284,7 +287,7 @@
 		return nil, 0, false
 	}
 	length := int(binary.BigEndian.Uint32(data))
-	if length > maxRecord || headerSize+length > len(data) {
+	if length > maxRecordSize || headerSize+length > len(data) {
 		return nil, 0, false
 	}
 	payload = data[headerSize : headerSize+length]
@@ -294,17 +297,17 @@
 	return payload, headerSize + length, true
 }
 
-// findFrame looks for a whole frame at or after from.
+// findFrame returns the offset of the first valid, non-empty frame at or after from.
 func findFrame(data []byte, from int) (int, bool) {
 	for at := from; at+headerSize < len(data); at++ {
-		if payload, _, ok := readFrame(data[at:]); ok && len(payload) > 0 {
+		if payload, _, ok := decodeFrame(data[at:]); ok && len(payload) > 0 {
 			return at, true
 		}
 	}
 	return 0, false
 }
 
-func frame(payload []byte) []byte {
+func encodeFrame(payload []byte) []byte {
 	buf := make([]byte, headerSize, headerSize+len(payload))
 	binary.BigEndian.PutUint32(buf, uint32(len(payload)))
 	binary.BigEndian.PutUint32(buf[4:], crc32.Checksum(buf[:4], castagnoli))
@@ -312,9 +315,9 @@
 	return append(buf, payload...)
 }
 
-// Reopen opens the store anew after its journal failed, and writes all of it into a new
-// segment before it may be used: after a failed write or sync nobody knows whether what can
-// be read back is on the disk. It fails while the disk takes nothing.
+// Reopen opens the store again after its journal failed and writes its full content to a new
+// segment, because data that can be read back after a failed write or sync is not necessarily
+// on the disk. It returns an error if the disk still fails.
 func Reopen(fsys FS, dir, host string) (*Journal, *port.JournalState, error) {
 	j, st, err := Open(fsys, dir, host)
 	if err != nil {
@@ -325,7 +328,7 @@
 		snap = &pb.SnapshotFile{}
 	}
 	if err := j.SaveSnapshot(snap, &pb.JournalRecord{HardState: st.HardState, Entries: st.Entries}); err != nil {
-		_ = j.Close() // the failure that is reported came first
+		_ = j.Close() // the earlier error is reported
 		return nil, nil, err
 	}
 	return j, st, nil
@@ -340,7 +343,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "")
 	}
-	if _, err := j.wal.Write(frame(payload)); err != nil {
+	if _, err := j.wal.Write(encodeFrame(payload)); err != nil {
 		return j.fail(err)
 	}
 	if err := j.wal.Sync(); err != nil {
@@ -354,8 +357,8 @@
 	return j.failed
 }
 
-// SaveSnapshot implements port.Journal. The new segment takes effect with the
-// rename of its wal file; a crash before leaves the old segment in force.
+// SaveSnapshot implements port.Journal. The new segment takes effect when its wal
+// file is renamed. After a crash before that, the old segment is still in force.
 func (j *Journal) SaveSnapshot(s *pb.SnapshotFile, tail *pb.JournalRecord) error {
 	if j.failed != nil {
 		return j.failed
@@ -369,16 +372,16 @@
 		return failure.Wrap(err, failure.Internal, "")
 	}
 	next := j.seq + 1
-	if err := j.writeFile(filepath.Base(j.path(snapPrefix, next)), frame(snap)); err != nil {
+	if err := j.writeFile(filepath.Base(j.path(snapPrefix, next)), encodeFrame(snap)); err != nil {
 		return j.fail(err)
 	}
-	if err := j.writeFile(filepath.Base(j.path(walPrefix, next)), frame(rec)); err != nil {
+	if err := j.writeFile(filepath.Base(j.path(walPrefix, next)), encodeFrame(rec)); err != nil {
 		return j.fail(err)
 	}
-	return j.switchTo(next)
+	return j.activateSegment(next)
 }
 
-func (j *Journal) switchTo(next uint64) error {
+func (j *Journal) activateSegment(next uint64) error {
 	wal, err := j.fs.OpenAppend(j.path(walPrefix, next))
 	if err != nil {
 		return j.fail(err)
@@ -393,7 +396,7 @@
 	return nil
 }
 
-// writeFile makes a whole file durable under its name, or not at all.
+// writeFile atomically creates or replaces a file and makes it durable.
 func (j *Journal) writeFile(name string, data []byte) error {
 	tmp := filepath.Join(j.dir, name+".tmp")
 	f, err := j.fs.Create(tmp)
--- a/internal/adapter/journal/journal_test.go
+++ b/internal/adapter/journal/journal_test.go
@@ -22,7 +22,7 @@
 	return j, st
 }
 
-func formatted(t *testing.T) *memFS {
+func newFormattedFS(t *testing.T) *memFS {
 	t.Helper()
 	m := newMemFS()
 	if err := Format(m, dir, port.Identity{Group: "g.1", Store: "c1.0", Host: "c1"}); err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-func last(st *port.JournalState) uint64 {
+func lastIndex(st *port.JournalState) uint64 {
 	if n := len(st.Entries); n > 0 {
 		return st.Entries[n-1].Index
 	}
@@ -53,47 +53,47 @@
 }
 
 func TestAppendedSurvivesCrashAtEveryTear(t *testing.T) {
-	m := formatted(t)
+	m := newFormattedFS(t)
 	j, _ := open(t, m)
 	appendEntries(t, j, 1, 5)
 	m.failSync = true
 	if err := j.Append(&pb.JournalRecord{Entries: []*pb.RaftEntry{entry(6)}}); !failure.Is(err, failure.JournalFailed) {
-		t.Fatalf("append without sync: %v", err)
+		t.Fatalf("append with a failing sync: %v", err)
 	}
-	whole := len(m.live[filepath.Join(dir, "wal-0000000000000000")]) - len(m.synced[filepath.Join(dir, "wal-0000000000000000")])
-	for tear := range whole {
-		m.tear = tear
+	unsynced := len(m.live[filepath.Join(dir, "wal-0000000000000000")]) - len(m.synced[filepath.Join(dir, "wal-0000000000000000")])
+	for tear := range unsynced {
+		m.tornBytes = tear
 		_, st := open(t, m.crash())
-		if last(st) != 5 {
-			t.Fatalf("tear of %d bytes: last entry %d, want 5", tear, last(st))
+		if lastIndex(st) != 5 {
+			t.Fatalf("%d unsynced bytes kept: last entry %d, want 5", tear, lastIndex(st))
 		}
 		if (st.CutBytes > 0) != (tear > 0) {
-			t.Fatalf("tear of %d bytes: %d cut", tear, st.CutBytes)
+			t.Fatalf("%d unsynced bytes kept: %d truncated", tear, st.CutBytes)
 		}
 	}
 }
 
 func TestFailedJournalStaysFailed(t *testing.T) {
-	for name, set := range map[string]func(*memFS){
+	for name, injectFault := range map[string]func(*memFS){
 		"sync":  func(m *memFS) { m.failSync = true },
 		"full":  func(m *memFS) { m.failWrite = syscall.ENOSPC },
 		"write": func(m *memFS) { m.failWrite = syscall.EIO },
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := formatted(t)
+			m := newFormattedFS(t)
 			j, _ := open(t, m)
 			appendEntries(t, j, 1, 1)
-			set(m)
+			injectFault(m)
 			rec := &pb.JournalRecord{Entries: []*pb.RaftEntry{entry(2)}}
 			if err := j.Append(rec); !failure.Is(err, failure.JournalFailed) {
 				t.Fatalf("got %v, want %s", err, failure.JournalFailed)
 			}
 			m.failSync, m.failWrite = false, nil
 			if err := j.Append(rec); !failure.Is(err, failure.JournalFailed) {
-				t.Errorf("append after a failure: %v; the journal must refuse", err)
+				t.Errorf("append after a failure: %v; want the journal to reject it", err)
 			}
 			if err := j.SaveSnapshot(&pb.SnapshotFile{}, &pb.JournalRecord{}); !failure.Is(err, failure.JournalFailed) {
-				t.Errorf("snapshot after a failure: %v; the journal must refuse", err)
+				t.Errorf("snapshot after a failure: %v; want the journal to reject it", err)
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 	wal := filepath.Join(dir, "wal-0000000000000000")
 	for _, where := range []string{"length", "data", "checksum"} {
 		t.Run(where, func(t *testing.T) {
-			m := formatted(t)
+			m := newFormattedFS(t)
 			j, _ := open(t, m)
 			appendEntries(t, j, 1, 3)
 			at := map[string]int{"length": 2, "checksum": 9, "data": headerSize + 3}[where]
@@ -130,52 +130,52 @@
 		{"damaged identity", func(m *memFS) { m.live[identity] = []byte("{") }, "c1", failure.JournalCorrupt},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := formatted(t)
+			m := newFormattedFS(t)
 			c.edit(m)
 			if _, _, err := Open(m, dir, c.host); !failure.Is(err, c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
 		})
 	}
-	if err := Format(formatted(t), dir, port.Identity{}); !failure.Is(err, failure.JournalForeign) {
-		t.Errorf("formatting a folder in use: %v", err)
+	if err := Format(newFormattedFS(t), dir, port.Identity{}); !failure.Is(err, failure.JournalForeign) {
+		t.Errorf("formatting a non-empty folder: %v", err)
 	}
 }
 
-// TestSnapshotSurvivesCrashAtEveryStep crashes at each operation of a snapshot:
-// either the old or the new segment is in force, and nothing synced is lost.
+// TestSnapshotSurvivesCrashAtEveryStep simulates a crash at each file operation of a
+// snapshot. Either the old or the new segment must be in force, with all synced entries.
 func TestSnapshotSurvivesCrashAtEveryStep(t *testing.T) {
 	for step := range 20 {
-		m := formatted(t)
+		m := newFormattedFS(t)
 		j, _ := open(t, m)
 		appendEntries(t, j, 1, 10)
-		s := &stepFS{memFS: m, left: step}
+		s := &stepFS{memFS: m, stepsLeft: step}
 		j.fs = s
 		err := j.SaveSnapshot(&pb.SnapshotFile{Index: 8, Term: 1, Data: []byte("state")},
 			&pb.JournalRecord{HardState: &pb.HardState{Term: 1, Commit: 10}, Entries: []*pb.RaftEntry{entry(9), entry(10)}})
 		_, st := open(t, m.crash())
-		if last(st) != 10 {
-			t.Fatalf("crash at step %d: last entry %d, want 10", step, last(st))
+		if lastIndex(st) != 10 {
+			t.Fatalf("crash at step %d: last entry %d, want 10", step, lastIndex(st))
 		}
 		if err == nil && st.Snapshot.GetIndex() != 8 {
-			t.Fatalf("crash at step %d: the acknowledged snapshot is gone", step)
+			t.Fatalf("crash at step %d: the acknowledged snapshot is lost", step)
 		}
-		if err == nil && s.left > 0 {
-			return // the whole snapshot took fewer steps
+		if err == nil && s.stepsLeft > 0 {
+			return // the snapshot completed in fewer steps
 		}
 	}
 	t.Error("the snapshot never completed")
 }
 
-// stepFS fails every operation after a number of them, as a crash does.
+// stepFS fails all operations after the first stepsLeft, like a crash.
 type stepFS struct {
 	*memFS
-	left int
+	stepsLeft int
 }
 
 func (s *stepFS) step() error {
-	s.left--
-	if s.left < 0 {
+	s.stepsLeft--
+	if s.stepsLeft < 0 {
 		return syscall.EIO
 	}
 	return nil
@@ -210,7 +210,7 @@
 }
 
 func TestDiskUseStaysBounded(t *testing.T) {
-	m := formatted(t)
+	m := newFormattedFS(t)
 	j, _ := open(t, m)
 	for i := uint64(1); i <= 3000; i++ {
 		appendEntries(t, j, i, i)
@@ -225,7 +225,7 @@
 		size += len(data)
 	}
 	if len(m.live) > 3 || size > 20_000 {
-		t.Errorf("%d files with %d bytes after 3,000 changes", len(m.live), size)
+		t.Errorf("%d files with %d bytes after 3,000 entries, want at most 3 files with 20,000 bytes", len(m.live), size)
 	}
 }
 
@@ -245,18 +245,18 @@
 	}
 }
 
-// TestReopenAfterFailure lets the disk fail in each way, then crashes with what was never
-// synced: a store that was opened anew holds all that was acknowledged, durably, and takes
-// more. While the disk still refuses it can't be opened anew.
+// TestReopenAfterFailure checks, for each kind of disk failure, that Reopen fails as long as the
+// disk fails, and that the reopened store then contains all acknowledged entries, accepts further
+// ones and keeps them in a power loss.
 func TestReopenAfterFailure(t *testing.T) {
-	for name, set := range map[string]func(*memFS){
+	for name, injectFault := range map[string]func(*memFS){
 		"sync":  func(m *memFS) { m.failSync = true },
 		"full":  func(m *memFS) { m.failWrite = syscall.ENOSPC },
 		"write": func(m *memFS) { m.failWrite = syscall.EIO },
 	} {
 		for _, withSnapshot := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, snapshot %v", name, withSnapshot), func(t *testing.T) {
-				m := formatted(t)
+				m := newFormattedFS(t)
 				j, _ := open(t, m)
 				appendEntries(t, j, 1, 3)
 				if withSnapshot {
@@ -265,58 +265,59 @@
 						t.Fatal(err)
 					}
 				}
-				set(m)
+				injectFault(m)
 				if err := j.Append(&pb.JournalRecord{Entries: []*pb.RaftEntry{entry(4)}}); err == nil {
-					t.Fatal("appended to a disk that fails")
+					t.Fatal("append on a failing disk succeeded")
 				}
 				if _, _, err := Reopen(m, dir, "c1"); !failure.Is(err, failure.JournalFailed) {
-					t.Fatalf("opened anew on a disk that fails: %v", err)
+					t.Fatalf("reopen on a failing disk: %v", err)
 				}
 				m.failSync, m.failWrite = false, nil
 				j, st, err := Reopen(m, dir, "c1")
 				if err != nil {
 					t.Fatal(err)
 				}
-				if got := last(st); got != 3 && got != 4 {
-					t.Errorf("last entry %d after opening anew", got)
+				if got := lastIndex(st); got != 3 && got != 4 {
+					t.Errorf("last entry %d after reopening, want 3 or 4", got)
 				}
-				kept := last(st)
+				kept := lastIndex(st)
 				appendEntries(t, j, kept+1, kept+1)
-				if _, st := open(t, m.crash()); last(st) != kept+1 || (st.Snapshot != nil) != withSnapshot {
-					t.Errorf("last entry %d after a crash, want %d; snapshot %v", last(st), kept+1, st.Snapshot)
+				if _, st := open(t, m.crash()); lastIndex(st) != kept+1 || (st.Snapshot != nil) != withSnapshot {
+					t.Errorf("last entry %d after a crash, want %d; snapshot %v", lastIndex(st), kept+1, st.Snapshot)
 				}
 			})
 		}
 	}
 }
 
-// TestRemovalWaitsForNames crashes while a store is opened whose newest segment's names were
-// never made durable: the segment before it must still be there.
+// TestRemovalWaitsForNames simulates a crash while Open reads a store whose newest segment has
+// directory entries that were never synced. The previous segment must not have been removed,
+// because the power loss discards those entries but may preserve the removal.
 func TestRemovalWaitsForNames(t *testing.T) {
 	for step := range 4 {
-		m := formatted(t)
+		m := newFormattedFS(t)
 		j, _ := open(t, m)
 		appendEntries(t, j, 1, 3)
-		j.fs = &stepFS{memFS: m, left: 5} // the names of the last rename are not synced
+		j.fs = &stepFS{memFS: m, stepsLeft: 5} // the names of the last rename are not synced
 		err := j.SaveSnapshot(&pb.SnapshotFile{Index: 2, Term: 1}, &pb.JournalRecord{Entries: []*pb.RaftEntry{entry(3)}})
 		if err == nil {
-			t.Fatal("the snapshot was taken; the step of the test is wrong")
+			t.Fatal("the snapshot succeeded; stepsLeft must stop it before the last sync of the folder")
 		}
-		_, _, _ = Open(&stepFS{memFS: m, left: step}, dir, "c1") // ends by a crash at this step
-		if _, st := open(t, m.crashKeepingRemovals()); last(st) != 3 {
-			t.Fatalf("crash at step %d: last entry %d", step, last(st))
+		_, _, _ = Open(&stepFS{memFS: m, stepsLeft: step}, dir, "c1") // fails at this step
+		if _, st := open(t, m.crashKeepingRemovals()); lastIndex(st) != 3 {
+			t.Fatalf("crash at step %d: last entry %d", step, lastIndex(st))
 		}
 	}
 }
 
-// crashKeepingRemovals is a power loss after which removed names are gone and names that
-// were not synced are lost.
+// crashKeepingRemovals returns the state of the file system after a power loss that preserves
+// removals and discards unsynced directory entries.
 func (m *memFS) crashKeepingRemovals() *memFS {
 	out := m.crash()
-	for name := range m.names {
+	for name := range m.syncedNames {
 		if _, ok := m.live[name]; !ok {
 			delete(out.live, name)
-			delete(out.names, name)
+			delete(out.syncedNames, name)
 		}
 	}
 	return out
--- a/internal/adapter/journal/fault_test.go
+++ b/internal/adapter/journal/memfs_test.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// memFS is a file system in memory that forgets what was not synced when it
-// crashes, tears writes, and fails on command.
+// memFS is an in-memory file system. It simulates a power loss that discards unsynced
+// data, torn writes, and failing writes and syncs.
 type memFS struct {
-	synced map[string][]byte // content that survives a crash
-	live   map[string][]byte // content as written
-	names  map[string]bool   // names that survive a crash
+	synced      map[string][]byte // content that is kept after a crash
+	live        map[string][]byte // content as written
+	syncedNames map[string]bool   // names that survive a crash
 
 	failSync  bool
 	failWrite error
-	tear      int // bytes of the unsynced tail that survive a crash
+	tornBytes int // bytes of the unsynced tail that survive a crash
 }
 
 func newMemFS() *memFS {
-	return &memFS{synced: map[string][]byte{}, live: map[string][]byte{}, names: map[string]bool{}}
+	return &memFS{synced: map[string][]byte{}, live: map[string][]byte{}, syncedNames: map[string]bool{}}
 }
 
-// crash returns the file system as it is after a power loss.
+// crash returns the state of the file system after a power loss.
 func (m *memFS) crash() *memFS {
 	out := newMemFS()
-	for name := range m.names {
+	for name := range m.syncedNames {
 		data := append([]byte(nil), m.synced[name]...)
 		if rest := m.live[name]; len(rest) > len(data) {
-			data = append(data, rest[len(data):min(len(rest), len(data)+m.tear)]...)
+			data = append(data, rest[len(data):min(len(rest), len(data)+m.tornBytes)]...)
 		}
-		out.synced[name], out.live[name], out.names[name] = data, append([]byte(nil), data...), true
+		out.synced[name], out.live[name], out.syncedNames[name] = data, append([]byte(nil), data...), true
 	}
 	return out
 }
@@ -126,14 +126,14 @@
 
 // SyncDir makes the names in the folder durable.
 func (m *memFS) SyncDir(dir string) error {
-	for n := range m.names {
+	for n := range m.syncedNames {
 		if _, ok := m.live[n]; !ok {
-			delete(m.names, n)
+			delete(m.syncedNames, n)
 		}
 	}
 	for n := range m.live {
 		if strings.HasPrefix(n, dir) {
-			m.names[n] = true
+			m.syncedNames[n] = true
 		}
 	}
 	return nil
--- a/internal/adapter/journal/osfs.go
+++ b/internal/adapter/journal/osfs.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 )
 
-// OS is the machine's file system.
+// OS implements FS with the operating system's file system.
 type OS struct{}
 
 // Create implements FS.
@@ -26,7 +26,7 @@
 // ReadDir implements FS.
 func (OS) ReadDir(name string) ([]fs.DirEntry, error) { return os.ReadDir(name) }
 
-// Truncate implements FS. The new length is synced.
+// Truncate implements FS. It syncs the new length.
 func (OS) Truncate(name string, size int64) error {
 	f, err := os.OpenFile(name, os.O_WRONLY, fileMode)
 	if err != nil {
--- a/internal/adapter/journal/quotas.go
+++ b/internal/adapter/journal/quotas.go
@@ -13,11 +13,12 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// quotasName is the file of what may have been given out of quotas. It is replaced whole, and
-// begins with a checksum of the rest.
-const quotasName = "quotas"
+// quotaFileName is the name of the file that stores what may have been granted from quotas. The
+// file is replaced atomically and begins with a CRC of its remaining bytes.
+const quotaFileName = "quotas"
 
-// Quotas keeps what a control host may have given out of the teams' quotas, beside its journal.
+// Quotas stores what a control host may have granted from the teams' quotas, in the journal's
+// data folder.
 type Quotas struct {
 	FS  FS
 	Dir string
@@ -30,12 +31,12 @@
 		return failure.Wrap(err, failure.Internal, "")
 	}
 	sum := binary.BigEndian.AppendUint32(nil, crc32.Checksum(data, castagnoli))
-	return (&Journal{fs: q.FS, dir: q.Dir}).writeFile(quotasName, append(sum, data...))
+	return (&Journal{fs: q.FS, dir: q.Dir}).writeFile(quotaFileName, append(sum, data...))
 }
 
 // Load implements port.QuotaStore.
 func (q Quotas) Load() (*pb.QuotaState, error) {
-	data, err := q.FS.ReadFile(filepath.Join(q.Dir, quotasName))
+	data, err := q.FS.ReadFile(filepath.Join(q.Dir, quotaFileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -44,7 +45,7 @@
 	}
 	s := &pb.QuotaState{}
 	if len(data) < 4 || crc32.Checksum(data[4:], castagnoli) != binary.BigEndian.Uint32(data) || proto.Unmarshal(data[4:], s) != nil {
-		return nil, failure.New(failure.JournalCorrupt, "", "the file %s is damaged", quotasName)
+		return nil, failure.New(failure.JournalCorrupt, "", "the file %s is damaged", quotaFileName)
 	}
 	return s, nil
 }
--- a/internal/adapter/journal/quotas_test.go
+++ b/internal/adapter/journal/quotas_test.go
@@ -11,7 +11,8 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// TestQuotas reads back what was saved last; nothing of a file that is damaged.
+// TestQuotas checks that Load returns the state that was saved last, and an error without
+// any state for a damaged file.
 func TestQuotas(t *testing.T) {
 	dir := t.TempDir()
 	q := Quotas{FS: OS{}, Dir: dir}
@@ -28,16 +29,16 @@
 	if s, err := q.Load(); err != nil || !proto.Equal(s, last) {
 		t.Errorf("read %v, %v, want %v", s, err, last)
 	}
-	path := filepath.Join(dir, quotasName)
+	path := filepath.Join(dir, quotaFileName)
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != fileMode {
 		t.Errorf("mode %v, %v", info.Mode(), err)
 	}
-	whole, err := os.ReadFile(path)
+	valid, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, data := range map[string][]byte{"empty": {}, "cut": whole[:len(whole)-1], "turned": append(append([]byte{}, whole[:6]...), append([]byte{whole[6] ^ 1}, whole[7:]...)...)} {
+	for name, data := range map[string][]byte{"empty": {}, "truncated": valid[:len(valid)-1], "flipped bit": append(append([]byte{}, valid[:6]...), append([]byte{valid[6] ^ 1}, valid[7:]...)...)} {
 		if err := os.WriteFile(path, data, fileMode); err != nil {
 			t.Fatal(err)
 		}
