--- a/internal/adapter/directory/directory.go
+++ b/internal/adapter/directory/directory.go
@@ -12,7 +12,7 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// HTTP publishes by PUT <URL>/<region>.
+// HTTP publishes the entry hosts of a region by PUT <URL>/<region>.
 type HTTP struct {
 	URL    string
 	Client *http.Client
@@ -40,7 +40,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode/100 != 2 {
-		return failure.New(failure.PeerRefused, "", "the directory answered %d", resp.StatusCode)
+		return failure.New(failure.PeerRefused, "", "the directory responded with status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/adapter/listenprobe/listenprobe.go
+++ b/internal/adapter/listenprobe/listenprobe.go
@@ -1,4 +1,4 @@
-// Package listenprobe asks whether a process listens at an address.
+// Package listenprobe checks whether a process listens on an address.
 package listenprobe
 
 import (
@@ -16,8 +16,8 @@
 	Local net.IP
 }
 
-// Listening implements port.ListenProbe. A refused connection says that no process listens;
-// no answer says nothing, as the way there may be cut.
+// Listening implements port.ListenProbe. A refused connection shows that no process listens
+// on addr. Without a response nothing is known, because the network path may be interrupted.
 func (d Dialer) Listening(ctx context.Context, addr string) port.Listening {
 	var dialer net.Dialer
 	if d.Local != nil {
--- a/internal/adapter/listenprobe/listenprobe_test.go
+++ b/internal/adapter/listenprobe/listenprobe_test.go
@@ -8,7 +8,7 @@
 	"github.com/sesamefork/sesamefork/internal/port"
 )
 
-// TestListening asks an address with a listener, one without, and without waiting for an answer.
+// TestListening probes an address with a listener, one without, and one with a canceled context.
 func TestListening(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,9 +22,9 @@
 	if got := d.Listening(context.Background(), addr); got != port.Refuses {
 		t.Errorf("without a listener: %s", got)
 	}
-	over, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if got := d.Listening(over, addr); got != port.NoAnswer {
-		t.Errorf("when the time is over: %s", got)
+	if got := d.Listening(canceled, addr); got != port.NoAnswer {
+		t.Errorf("with a canceled context: %s", got)
 	}
 }
