--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command line.
+// Package ctl implements the commands of sesamectl, the operators' command line tool.
 package ctl
 
 import (
@@ -19,31 +19,30 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Client calls the operators' HTTP of the control hosts.
+// Client calls the operators' HTTP API of the control hosts.
 type Client struct {
 	Servers []string // base URLs, tried in order
 	Key     string
 	HTTP    *http.Client
-	// Attempt bounds the call to one control host, so that one that is frozen
-	// does not hold up the others (default 12 s, above the host's own bound).
+	// Attempt is the timeout of the call to one control host, after which the next one
+	// is called (default 12 s, longer than the host's own time limit of 10 s).
 	Attempt time.Duration
 }
 
-// Bounds of a call to one control host. A replacement of a replica may take a
-// minute.
+// Timeouts of a call to one control host. Replacing a replica may take up to 60 s.
 const (
 	defaultAttempt = 12 * time.Second
 	replaceTimeout = 90 * time.Second
 )
 
-// NewClient returns a client for control hosts separated by commas.
+// NewClient returns a client for a comma-separated list of control hosts' base URLs.
 func NewClient(servers, key string) *Client {
 	return &Client{Servers: strings.Split(servers, ","), Key: key, HTTP: &http.Client{}, Attempt: defaultAttempt}
 }
 
-// Do calls the first control host that answers. A call that got no answer is
-// made again at the next host: reads do no harm, a change carries its change_id,
-// and a membership change that was made already has no effect.
+// Do calls the control hosts in order until one responds. Repeating a call that got no
+// response is safe: reads change nothing, a change carries its change_id, and a
+// membership change that was already made has no effect.
 func (c *Client) Do(ctx context.Context, method, path string, body, out any) error {
 	timeout := c.Attempt
 	if strings.HasPrefix(path, "/v1/replicas") {
@@ -52,7 +51,7 @@
 	var last error
 	for _, server := range c.Servers {
 		attempt, cancel := context.WithTimeout(ctx, timeout)
-		answered, err := c.one(attempt, method, strings.TrimRight(server, "/")+path, body, out)
+		answered, err := c.callHost(attempt, method, strings.TrimRight(server, "/")+path, body, out)
 		cancel()
 		last = err
 		if answered {
@@ -62,7 +61,7 @@
 	return last
 }
 
-func (c *Client) one(ctx context.Context, method, url string, body, out any) (answered bool, err error) {
+func (c *Client) callHost(ctx context.Context, method, url string, body, out any) (answered bool, err error) {
 	var reader io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
@@ -101,18 +100,18 @@
 			return f
 		}
 	}
-	return failure.New(failure.Internal, failure.Unknown, "%s answered %d", resp.Request.URL.Host, resp.StatusCode)
+	return failure.New(failure.Internal, failure.Unknown, "%s responded with status %d", resp.Request.URL.Host, resp.StatusCode)
 }
 
-// Current returns the accepted configuration.
+// Current returns the current accepted configuration.
 func (c *Client) Current(ctx context.Context) (*operatorhttp.Config, error) {
 	out := new(operatorhttp.Config)
 	err := c.Do(ctx, http.MethodGet, "/v1/config", nil, out)
 	return out, err
 }
 
-// ReadRecord reads a record from a TOML or JSON file as JSON. Keys that this
-// build does not know are kept.
+// ReadRecord reads a configuration record from a TOML or JSON file and returns it as
+// JSON. Keys that are unknown to this build are preserved.
 func ReadRecord(path string) (json.RawMessage, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -132,7 +131,7 @@
 	return out, nil
 }
 
-// diffLines lists the differences of two JSON documents by path.
+// diffLines appends one line per difference between two JSON values to out.
 func diffLines(path string, a, b any, out *[]string) {
 	am, aok := a.(map[string]any)
 	bm, bok := b.(map[string]any)
@@ -146,24 +145,24 @@
 	bl, bok := b.([]any)
 	if aok && bok {
 		for i := range max(len(al), len(bl)) {
-			diffLines(fmt.Sprintf("%s[%d]", path, i), at(al, i), at(bl, i), out)
+			diffLines(fmt.Sprintf("%s[%d]", path, i), elementAt(al, i), elementAt(bl, i), out)
 		}
 		return
 	}
-	x, y := compact(a), compact(b)
+	x, y := compactJSON(a), compactJSON(b)
 	if x != y {
 		*out = append(*out, fmt.Sprintf("%s: %s -> %s", strings.TrimPrefix(path, "."), x, y))
 	}
 }
 
-func at(l []any, i int) any {
+func elementAt(l []any, i int) any {
 	if i < len(l) {
 		return l[i]
 	}
 	return nil
 }
 
-func compact(v any) string {
+func compactJSON(v any) string {
 	if v == nil {
 		return "(none)"
 	}
--- a/internal/ctl/commands.go
+++ b/internal/ctl/commands.go
@@ -13,17 +13,17 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Exit codes of sesamectl, after the usual 0, 1 and 2.
+// Exit codes of sesamectl in addition to 0 (success), 1 (failure) and 2 (usage error).
 const (
-	ExitConflict    subcommands.ExitStatus = 3 // the base version is old
+	ExitConflict    subcommands.ExitStatus = 3 // the base version is not the current version
 	ExitInvalid     subcommands.ExitStatus = 4 // the record or the settings are invalid
 	ExitUnreachable subcommands.ExitStatus = 5 // no control host could be reached
 )
 
-// Env is what commands share.
+// Env holds the global options and output streams of the commands.
 type Env struct {
-	Control string
-	Key     string
+	Control string // base URLs of the control hosts, separated by commas
+	Key     string // operator key
 	Output  string // "table" or "json"
 	Stdout  io.Writer
 	Stderr  io.Writer
@@ -47,7 +47,7 @@
 	return subcommands.ExitFailure
 }
 
-// print writes v as JSON, or calls table.
+// print writes v to standard output, as JSON or by calling table.
 func (e *Env) print(v any, table func(w io.Writer)) subcommands.ExitStatus {
 	if e.Output == "json" {
 		enc := json.NewEncoder(e.Stdout)
@@ -89,7 +89,7 @@
 	return c.run(ctx, f.Args())
 }
 
-// Commands returns the verbs of sesamectl.
+// Commands returns the commands of sesamectl.
 func Commands(e *Env) []subcommands.Command {
 	return []subcommands.Command{
 		applyCommand(e), getCommand(e), diffCommand(e), historyCommand(e), validateCommand(e), statusCommand(e),
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -28,12 +28,12 @@
 		name: "apply", synopsis: "accept a new configuration record",
 		usage: "apply -f record.toml [-base N] [-reason text] [-change-id id]\n" +
 			"  Example: sesamectl apply -f deploy/railhalt/record.toml -reason 'raise the ceiling'\n" +
-			"  After a lost reply, apply again with the same -change-id: it gets the first answer.",
+			"  If the response was lost, repeat the command with the same -change-id: it returns the first result.",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&file, "f", "", "record `file` (TOML or JSON)")
-			f.StringVar(&reason, "reason", "", "why, for the history")
-			f.StringVar(&changeID, "change-id", "", "identity of the change (default: random)")
-			f.Int64Var(&base, "base", -1, "version that the change was made on (default: the current one)")
+			f.StringVar(&reason, "reason", "", "reason for the change, recorded in the history")
+			f.StringVar(&changeID, "change-id", "", "identifier of the change (default: random)")
+			f.Int64Var(&base, "base", -1, "version that the change is based on (default: the current one)")
 		},
 		run: func(ctx context.Context, _ []string) subcommands.ExitStatus {
 			record, err := ReadRecord(file)
@@ -175,8 +175,8 @@
 	}
 }
 
-// randomID makes the change_id of an operator who states none: the same for
-// every control host that is asked.
+// randomID returns a random change_id. apply uses the same one for all control hosts that it
+// calls, so that a repeated change is recognized.
 func randomID() string {
 	b := make([]byte, 12)
 	_, _ = rand.Read(b)
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -20,9 +20,9 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// answering returns the address of a control host that gives one answer, at one path, until
+// newStubServer returns the URL of a control host that returns answer as JSON at one path, until
 // the test ends.
-func answering(t *testing.T, path string, answer any) string {
+func newStubServer(t *testing.T, path string, answer any) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == path {
@@ -33,8 +33,9 @@
 	return srv.URL
 }
 
-// run executes a verb with its arguments.
-func run(env *Env, args ...string) (subcommands.ExitStatus, string, string) {
+// runCommand executes the command args[0] and returns its exit code, standard output and
+// standard error.
+func runCommand(env *Env, args ...string) (subcommands.ExitStatus, string, string) {
 	var out, errs bytes.Buffer
 	env.Stdout, env.Stderr = &out, &errs
 	for _, c := range Commands(env) {
@@ -48,10 +49,10 @@
 		}
 		return c.Execute(context.Background(), set), out.String(), errs.String()
 	}
-	return subcommands.ExitUsageError, "", "no verb"
+	return subcommands.ExitUsageError, "", "no such command"
 }
 
-func record(t *testing.T, text string) string {
+func writeRecord(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "record.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -60,15 +61,15 @@
 	return path
 }
 
-// TestApply is the contract of apply's exit codes, by what the control host answers.
+// TestApply checks the exit code and error message of apply for each kind of response.
 func TestApply(t *testing.T) {
 	conflict := failure.New(failure.VersionConflict, failure.NotRun, "old base")
 	conflict.Version = 9
 	for _, c := range []struct {
-		name   string
-		answer *failure.Error
-		exit   subcommands.ExitStatus
-		says   string
+		name    string
+		problem *failure.Error
+		exit    subcommands.ExitStatus
+		stderr  string
 	}{
 		{"accepted", nil, subcommands.ExitSuccess, ""},
 		{"conflict", conflict, ExitConflict, "apply with -base 9"},
@@ -79,45 +80,45 @@
 		t.Run(c.name, func(t *testing.T) {
 			var got operatorhttp.Change
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if c.answer != nil {
-					problem.Write(w, c.answer, "")
+				if c.problem != nil {
+					problem.Write(w, c.problem, "")
 					return
 				}
 				_ = json.NewDecoder(r.Body).Decode(&got)
 				_ = json.NewEncoder(w).Encode(operatorhttp.ChangeResult{Version: 8})
 			}))
 			defer srv.Close()
-			// The first control host is down: the second is asked.
+			// The first control host is down, so the second one must be called.
 			env := &Env{Control: "http://127.0.0.1:1," + srv.URL, Key: "k", Output: "table"}
-			exit, out, errs := run(env, "apply", "-f", record(t, "schema_version = 2\nunknown_to_this_build = 5\n"), "-base", "7", "-change-id", "x")
-			if exit != c.exit || !strings.Contains(errs, c.says) {
-				t.Errorf("exit %d with %q, want %d with %q", exit, errs, c.exit, c.says)
+			exit, out, errs := runCommand(env, "apply", "-f", writeRecord(t, "schema_version = 2\nunknown_to_this_build = 5\n"), "-base", "7", "-change-id", "x")
+			if exit != c.exit || !strings.Contains(errs, c.stderr) {
+				t.Errorf("exit %d with %q, want %d with %q", exit, errs, c.exit, c.stderr)
 			}
-			if c.answer != nil {
+			if c.problem != nil {
 				return
 			}
 			if !strings.Contains(out, "version 8") || got.BaseVersion != 7 || got.ChangeID != "x" {
 				t.Errorf("printed %q, sent %+v", out, got)
 			}
 			if !strings.Contains(string(got.Record), "unknown_to_this_build") {
-				t.Errorf("a field that this build does not know was dropped: %s", got.Record)
+				t.Errorf("a field that is unknown to this build was dropped: %s", got.Record)
 			}
 		})
 	}
 }
 
-// TestFrozenControlHostIsPassedOver asks a host that takes the connection and
-// never answers before one that does.
-func TestFrozenControlHostIsPassedOver(t *testing.T) {
+// TestUnresponsiveControlHostIsSkipped puts a control host that accepts connections but never
+// responds before one that responds. The client must call the second one after its timeout.
+func TestUnresponsiveControlHostIsSkipped(t *testing.T) {
 	stop := make(chan struct{})
 	frozen := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-stop }))
 	defer frozen.Close()
 	defer close(stop)
-	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	responsive := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(operatorhttp.Config{Version: 4})
 	}))
-	defer good.Close()
-	c := NewClient(frozen.URL+","+good.URL, "k")
+	defer responsive.Close()
+	c := NewClient(frozen.URL+","+responsive.URL, "k")
 	c.Attempt = 200 * time.Millisecond
 	got, err := c.Current(context.Background())
 	if err != nil || got.Version != 4 {
@@ -126,11 +127,11 @@
 }
 
 func TestValidate(t *testing.T) {
-	exit, _, errs := run(&Env{}, "validate", record(t, "schema_version = 9"))
+	exit, _, errs := runCommand(&Env{}, "validate", writeRecord(t, "schema_version = 9"))
 	if exit != ExitInvalid || !strings.Contains(errs, "9 is not supported") {
 		t.Errorf("exit %d with %q", exit, errs)
 	}
-	exit, out, errs := run(&Env{}, "validate", "../../deploy/archive/record.toml")
+	exit, out, errs := runCommand(&Env{}, "validate", "../../deploy/archive/record.toml")
 	if exit != subcommands.ExitSuccess || out != "valid\n" {
 		t.Errorf("exit %d with %q %q", exit, out, errs)
 	}
@@ -148,7 +149,7 @@
 	}
 }
 
-func TestEveryVerbHasAnExample(t *testing.T) {
+func TestEveryCommandHasAnExample(t *testing.T) {
 	for _, c := range Commands(&Env{}) {
 		if !strings.Contains(c.Usage(), "Example: ") || c.Synopsis() == "" {
 			t.Errorf("%s: %q", c.Name(), c.Usage())
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -9,8 +9,8 @@
 
 func fleetCommand(e *Env) *command {
 	return showCommand(e, command{
-		name: "fleet", synopsis: "show what a control host knows of who is there, and what it owns",
-		usage: "fleet\n  Each control host has its own view: ask several where they may differ.\n" +
+		name: "fleet", synopsis: "show a control host's view of the entry hosts, backend servers and control hosts",
+		usage: "fleet\n  Each control host has its own view: compare several of them if they may differ.\n" +
 			"  Example: sesamectl -control http://127.0.0.1:8090 fleet",
 	}, "/v1/fleet", printFleet)
 }
@@ -22,7 +22,7 @@
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n",
 			d.Name, d.EntryHosts, d.Ready, d.Presented, d.Owned, d.OldestHostMS, d.Servers, d.Announced, d.OldestServerMS)
 	}
-	fmt.Fprintln(w, "CONTROL HOST\tFAILURE DOMAIN\tAGE MS\tHEARD")
+	fmt.Fprintln(w, "CONTROL HOST\tFAILURE DOMAIN\tAGE MS\tRECENT")
 	for _, c := range fleet.Controls {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%t\n", c.Peer, c.FailureDomain, c.AgeMS, c.Recent)
 	}
--- a/internal/ctl/group.go
+++ b/internal/ctl/group.go
@@ -42,7 +42,7 @@
 				fmt.Fprintf(w, "leader\t%s\tterm\t%d\taccepted version\t%d\n", st.Leader, st.Term, st.Stamp.GetVersion())
 				fmt.Fprintf(w, "losses survivable now\t%d\n", st.SurvivableLosses)
 				printReplicas(w, st)
-				fmt.Fprintln(w, "ENTRY HOST\tVERSION\tSCHEMA\tHEARD\t")
+				fmt.Fprintln(w, "ENTRY HOST\tVERSION\tSCHEMA\tLAST REPORT\t")
 				for _, h := range st.Hosts {
 					note := ""
 					if h.Stamp.GetVersion() < st.Stamp.GetVersion() {
@@ -110,7 +110,7 @@
 func orderCommand(e *Env) *command {
 	var o operatorhttp.OrderBody
 	return &command{
-		name: "order", synopsis: "give a fenced order to a model engine",
+		name: "order", synopsis: "send an order with a fencing number to a model engine",
 		usage: "order -address IP:PORT -action load|unload|role [-model M] [-adapter A] [-version V] [-role R]\n" +
 			"  Example: sesamectl order -address 127.20.1.101:9000 -action load -model parts-chat",
 		flags: func(f *flag.FlagSet) {
@@ -126,7 +126,7 @@
 			if err := e.client().Do(ctx, http.MethodPost, "/v1/orders", o, &out); err != nil {
 				return e.fail(err)
 			}
-			return e.print(out, func(w io.Writer) { fmt.Fprintf(w, "order %d carried out\n", out.Fence) })
+			return e.print(out, func(w io.Writer) { fmt.Fprintf(w, "order %d executed\n", out.Fence) })
 		},
 	}
 }
--- a/internal/ctl/host.go
+++ b/internal/ctl/host.go
@@ -14,15 +14,15 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// entryCall calls an entry host's operators' address.
-func (e *Env) entryCall(ctx context.Context, method, host, path string, out any) error {
+// callEntryHost calls an entry host at its operators' address, host.
+func (e *Env) callEntryHost(ctx context.Context, method, host, path string, out any) error {
 	return NewClient(host, e.Key).Do(ctx, method, path, nil, out)
 }
 
 func explainCommand(e *Env) *command {
 	var host string
 	return &command{
-		name: "explain", synopsis: "tell why a request went where it went",
+		name: "explain", synopsis: "explain how a request was routed",
 		usage: "explain -host URL REQUEST_ID\n  Example: sesamectl explain -host http://127.20.1.1:9090 3f2a…",
 		flags: func(f *flag.FlagSet) { f.StringVar(&host, "host", "", "`URL` of the entry host's operators' address") },
 		run: func(ctx context.Context, args []string) subcommands.ExitStatus {
@@ -30,7 +30,7 @@
 				return subcommands.ExitUsageError
 			}
 			var out json.RawMessage
-			if err := e.entryCall(ctx, http.MethodGet, host, "/v1/explain/"+args[0], &out); err != nil {
+			if err := e.callEntryHost(ctx, http.MethodGet, host, "/v1/explain/"+args[0], &out); err != nil {
 				return e.fail(err)
 			}
 			e.Output = "json"
@@ -42,30 +42,30 @@
 func rescueCommand(e *Env) *command {
 	var hosts string
 	return &command{
-		name: "rescue", synopsis: "print the highest record that entry hosts hold, after the loss of all control disks",
+		name: "rescue", synopsis: "print the newest record that entry hosts hold, after the loss of all control hosts' disks",
 		usage: "rescue -hosts URL,URL\n  Example: sesamectl rescue -hosts http://127.20.1.1:9090,http://127.20.2.1:9090 > record.json",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&hosts, "hosts", "", "`URLs` of entry hosts' operators' addresses, separated by commas")
 		},
 		run: func(ctx context.Context, _ []string) subcommands.ExitStatus {
-			var best callerhttp.InForce
+			var newest callerhttp.InForce
 			var last error
 			for _, host := range strings.Split(hosts, ",") {
 				var got callerhttp.InForce
-				if err := e.entryCall(ctx, http.MethodGet, host, "/v1/config", &got); err != nil {
+				if err := e.callEntryHost(ctx, http.MethodGet, host, "/v1/config", &got); err != nil {
 					last = err
 					continue
 				}
-				if got.Generation > best.Generation || got.Generation == best.Generation && got.Version > best.Version {
-					best = got
+				if got.Generation > newest.Generation || got.Generation == newest.Generation && got.Version > newest.Version {
+					newest = got
 				}
 			}
-			if best.Record == nil {
+			if newest.Record == nil {
 				return e.fail(failure.New(failure.NotFound, "", "no entry host holds a record: %v", last))
 			}
-			fmt.Fprintf(e.Stderr, "generation %d, version %d: form the group anew with generation %d, then apply this with -base 0\n",
-				best.Generation, best.Version, best.Generation+1)
-			fmt.Fprintln(e.Stdout, string(best.Record))
+			fmt.Fprintf(e.Stderr, "generation %d, version %d: form a new control group with generation %d, then apply this record with -base 0\n",
+				newest.Generation, newest.Version, newest.Generation+1)
+			fmt.Fprintln(e.Stdout, string(newest.Record))
 			return subcommands.ExitSuccess
 		},
 	}
@@ -75,11 +75,11 @@
 	var host string
 	var undo bool
 	return &command{
-		name: "drain", synopsis: "take an entry host out of the lists, or back in",
+		name: "drain", synopsis: "remove an entry host from the lists of entry hosts, or put it back",
 		usage: "drain -host URL [-undo]\n  Example: sesamectl drain -host http://127.20.1.1:9090",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&host, "host", "", "`URL` of the entry host's operators' address")
-			f.BoolVar(&undo, "undo", false, "put the host back into the lists")
+			f.BoolVar(&undo, "undo", false, "put the entry host back into the lists")
 		},
 		run: func(ctx context.Context, _ []string) subcommands.ExitStatus {
 			if host == "" {
@@ -89,7 +89,7 @@
 			if undo {
 				method = http.MethodDelete
 			}
-			if err := e.entryCall(ctx, method, host, "/v1/drain", nil); err != nil {
+			if err := e.callEntryHost(ctx, method, host, "/v1/drain", nil); err != nil {
 				return e.fail(err)
 			}
 			return subcommands.ExitSuccess
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -17,7 +17,7 @@
 
 func keygenCommand(e *Env) *command {
 	return &command{
-		name: "keygen", synopsis: "make the key pair of the commit evidence",
+		name: "keygen", synopsis: "generate the key pair that signs and verifies commit evidence",
 		usage: "keygen\n  Example: sesamectl keygen",
 		run: func(context.Context, []string) subcommands.ExitStatus {
 			pub, private, err := ed25519.GenerateKey(rand.Reader)
@@ -34,7 +34,7 @@
 
 func hashCommand(e *Env) *command {
 	return &command{
-		name: "hash", synopsis: "hash a key, read from standard input, for a record",
+		name: "hash", synopsis: "hash a key from standard input for use in a record",
 		usage: "hash < keyfile\n  Example: printf %s \"$KEY\" | sesamectl hash",
 		run: func(context.Context, []string) subcommands.ExitStatus {
 			data, err := io.ReadAll(os.Stdin)
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -14,7 +14,7 @@
 
 func quarantineCommand(e *Env) *command {
 	return &command{
-		name: "quarantine", synopsis: "list the requests that crash servers, or lift the quarantine of one",
+		name: "quarantine", synopsis: "list the requests that crash backend servers, or lift the quarantine of one",
 		usage: "quarantine list\n  quarantine lift fingerprint\n" +
 			"  Example: sesamectl quarantine lift 8c6f1d0e5b7a49d2a3f4c1b09e8d7654",
 		run: func(ctx context.Context, args []string) subcommands.ExitStatus {
@@ -48,5 +48,5 @@
 	if err := e.client().Do(ctx, http.MethodDelete, "/v1/quarantine/"+fingerprint, nil, &out); err != nil {
 		return e.fail(err)
 	}
-	return e.print(out, func(w io.Writer) { fmt.Fprintln(w, "lifted; every entry host lets it through within seconds") })
+	return e.print(out, func(w io.Writer) { fmt.Fprintln(w, "lifted; all entry hosts accept the request again within seconds") })
 }
--- a/internal/ctl/quota.go
+++ b/internal/ctl/quota.go
@@ -9,8 +9,8 @@
 
 func quotaCommand(e *Env) *command {
 	return showCommand(e, command{
-		name: "quota", synopsis: "show what a control host has of the teams' quotas, and what was refused",
-		usage: "quota\n  Each control host gives out a part of each quota: ask them one by one.\n" +
+		name: "quota", synopsis: "show a control host's shares of the teams' quotas, and what it refused",
+		usage: "quota\n  Each control host grants a part of each quota: query all control hosts for the total.\n" +
 			"  Example: sesamectl -control http://127.0.0.1:8090 quota",
 	}, "/v1/quotas", printQuotas)
 }
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -8,8 +8,8 @@
 	"github.com/google/subcommands"
 )
 
-// showCommand returns a command without arguments that prints what a control host answers at
-// a path: as a table, or as it came.
+// showCommand returns a command without arguments that gets a path from a control host and
+// prints the response as JSON or as a table.
 func showCommand[T any](e *Env, c command, path string, table func(w io.Writer, answer T)) *command {
 	c.run = func(ctx context.Context, args []string) subcommands.ExitStatus {
 		if len(args) > 0 {
