--- a/internal/ctl/commands.go
+++ b/internal/ctl/commands.go
@@ -17,7 +17,7 @@
 const (
 	ExitConflict    subcommands.ExitStatus = 3 // the base version is not the current version
 	ExitInvalid     subcommands.ExitStatus = 4 // the record or the settings are invalid
-	ExitUnreachable subcommands.ExitStatus = 5 // no control host could be reached
+	ExitUnreachable subcommands.ExitStatus = 5 // no control host could be reached, or the group has no leader
 )
 
 // Env holds the global options and output streams of the commands.
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -66,10 +66,10 @@
 	conflict := failure.New(failure.VersionConflict, failure.NotRun, "old base")
 	conflict.Version = 9
 	for _, c := range []struct {
-		name    string
-		problem *failure.Error
-		exit    subcommands.ExitStatus
-		stderr  string
+		name      string
+		rejection *failure.Error
+		exit      subcommands.ExitStatus
+		stderr    string
 	}{
 		{"accepted", nil, subcommands.ExitSuccess, ""},
 		{"conflict", conflict, ExitConflict, "apply with -base 9"},
@@ -80,8 +80,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			var got operatorhttp.Change
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if c.problem != nil {
-					problem.Write(w, c.problem, "")
+				if c.rejection != nil {
+					problem.Write(w, c.rejection, "")
 					return
 				}
 				_ = json.NewDecoder(r.Body).Decode(&got)
@@ -94,7 +94,7 @@
 			if exit != c.exit || !strings.Contains(errs, c.stderr) {
 				t.Errorf("exit %d with %q, want %d with %q", exit, errs, c.exit, c.stderr)
 			}
-			if c.problem != nil {
+			if c.rejection != nil {
 				return
 			}
 			if !strings.Contains(out, "version 8") || got.BaseVersion != 7 || got.ChangeID != "x" {
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -9,7 +9,7 @@
 
 func fleetCommand(e *Env) *command {
 	return showCommand(e, command{
-		name: "fleet", synopsis: "show a control host's view of the entry hosts, backend servers and control hosts",
+		name: "fleet", synopsis: "show a control host's view of the fleet, and how many entry hosts it owns",
 		usage: "fleet\n  Each control host has its own view: compare several of them if they may differ.\n" +
 			"  Example: sesamectl -control http://127.0.0.1:8090 fleet",
 	}, "/v1/fleet", printFleet)
