--- a/internal/adapter/journal/filesize_test.go
+++ b/internal/adapter/journal/filesize_test.go
@@ -45,7 +45,7 @@
 	if !failure.Is(err, failure.JournalFailed) || acknowledged == 0 {
 		t.Fatalf("%d records, then %v", acknowledged, err)
 	}
-	_ = j.Close() // it failed
+	_ = j.Close() // the journal has failed already
 	j, st, err := Reopen(OS{}, folder, "c1")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/journal/memfs_test.go
+++ b/internal/adapter/journal/memfs_test.go
@@ -14,11 +14,11 @@
 type memFS struct {
 	synced      map[string][]byte // content that is kept after a crash
 	live        map[string][]byte // content as written
-	syncedNames map[string]bool   // names that survive a crash
+	syncedNames map[string]bool   // directory entries that are kept after a crash
 
 	failSync  bool
 	failWrite error
-	tornBytes int // bytes of the unsynced tail that survive a crash
+	tornBytes int // bytes of unsynced data that are kept after a crash
 }
 
 func newMemFS() *memFS {
@@ -124,7 +124,7 @@
 
 func (m *memFS) MkdirAll(string) error { return nil }
 
-// SyncDir makes the names in the folder durable.
+// SyncDir makes the folder's directory entries durable.
 func (m *memFS) SyncDir(dir string) error {
 	for n := range m.syncedNames {
 		if _, ok := m.live[n]; !ok {
--- a/internal/adapter/peerlink/client.go
+++ b/internal/adapter/peerlink/client.go
@@ -99,8 +99,8 @@
 type peer struct {
 	mu      sync.Mutex
 	session *session
-	dialErr error
-	retryAt time.Time
+	dialErr error     // error of the last failed dial, returned until retryAt
+	retryAt time.Time // when the next dial is allowed
 }
 
 // redialBackoff is the time after a failed dial within which further calls to the address
--- a/internal/adapter/settings/load.go
+++ b/internal/adapter/settings/load.go
@@ -17,7 +17,7 @@
 // SchemaVersion is the version of the settings format that this build reads.
 const SchemaVersion = 1
 
-// Fault is one mistake in a settings file.
+// Fault is an unknown key or an invalid value in a settings file.
 type Fault struct {
 	Key    string // dotted TOML key
 	Reason string
