--- a/cmd/sesame-entry/platform.go
+++ b/cmd/sesame-entry/platform.go
@@ -53,7 +53,7 @@
 	g := gateway.New(gateway.Options{
 		Host: s.Host.ID, Region: s.Host.Region, FailureDomain: s.Host.FailureDomain,
 		Peer: s.Fleet.PeerAddress(s.Listen.Peer), Caller: s.Listen.Caller, Seeds: s.Fleet.PeerSeeds(), Regions: s.Fleet.Regions,
-		Retries:       retry.SharedOptions{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: seconds(s.Retries.WindowS)},
+		Retries:       retry.SharedBudgetOptions{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: seconds(s.Retries.WindowS)},
 		AnnounceEvery: time.Duration(s.Fleet.HeartbeatMS) * time.Millisecond, VerifyKey: s.Link.PublicKey(), Peers: client, Drop: client.Drop, Backends: servers,
 		Crashes: crashes,
 		Clock:   port.SystemClock{}, ReadPrompt: platform.ReadPrompt, Random: rand.Float64, Off: off, Tracer: tracer, Log: log, Metrics: m,
--- a/internal/adapter/operatorhttp/fleet.go
+++ b/internal/adapter/operatorhttp/fleet.go
@@ -51,8 +51,8 @@
 	}
 	for _, d := range r.Domains {
 		out.Domains = append(out.Domains, DomainState{
-			Name: d.Name, Region: d.Region, EntryHosts: d.Hosts, Ready: d.Ready, Presented: d.Presented, Owned: d.Owned,
-			OldestHost: d.OldestHost, OldestHostMS: d.OldestHostAge.Milliseconds(), Servers: d.Servers, Announced: d.HeardHere,
+			Name: d.Name, Region: d.Region, EntryHosts: d.Hosts, Ready: d.Ready, Presented: d.SyncingHere, Owned: d.Owned,
+			OldestHost: d.OldestHost, OldestHostMS: d.OldestHostAge.Milliseconds(), Servers: d.Servers, Announced: d.AnnouncedHere,
 			OldestServer: d.OldestServer, OldestServerMS: d.OldestServerAge.Milliseconds(),
 		})
 	}
--- a/internal/adapter/operatorhttp/quotas.go
+++ b/internal/adapter/operatorhttp/quotas.go
@@ -33,7 +33,7 @@
 func (h *Handler) listQuotas(w http.ResponseWriter, _ *http.Request, _ string) error {
 	out := []TeamQuota{}
 	for _, l := range h.replica.TeamLevels() {
-		out = append(out, TeamQuota{l.Team, l.Size, l.Free, l.Borrowed, l.Lent, l.Held, l.Back, l.DemandPerSecond, l.Refused})
+		out = append(out, TeamQuota{l.Team, l.Size, l.Free, l.Borrowed, l.Lent, l.Held, l.PendingReturn, l.DemandPerSecond, l.Refused})
 	}
 	return writeJSON(w, out)
 }
--- a/internal/app/access/access.go
+++ b/internal/app/access/access.go
@@ -153,7 +153,7 @@
 	units := t.Quota.Cost(tokens)
 	began := g.o.Clock.Now()
 	g.mu.Lock()
-	g.holder.Ask(t.Name, units, began)
+	g.holder.RecordDemand(t.Name, units, began)
 	if q := g.teams[t.Name]; q == nil || len(q.queue) == 0 {
 		if c, ok := g.holder.Take(t.Name, units, began); ok {
 			g.mu.Unlock()
@@ -199,7 +199,7 @@
 	}
 	w := &waiter{units: units, done: make(chan struct{})}
 	q.queue = append(q.queue, w)
-	g.holder.Wait(t.Name, units)
+	g.holder.AddWaiting(t.Name, units)
 	if len(q.asked) == 0 && !g.askNext(q, 1, now) {
 		g.leave(t.Name, w)
 		return nil, g.unknown(t.Name)
@@ -294,7 +294,7 @@
 	for i, other := range q.queue {
 		if other == w {
 			q.queue = append(q.queue[:i:i], q.queue[i+1:]...)
-			g.holder.Wait(team, -w.units)
+			g.holder.AddWaiting(team, -w.units)
 		}
 	}
 	q.settled()
@@ -338,7 +338,7 @@
 	now := g.o.Clock.Now()
 	list := g.o.Issuers()
 	nearest := len(list) > 0 && list[0] == addr
-	ask := g.holder.Compose(addr, nearest, func(team string) bool { return g.teams[team].asks(addr) }, now)
+	ask := g.holder.ComposeAsk(addr, nearest, func(team string) bool { return g.teams[team].asks(addr) }, now)
 	if ask == nil {
 		return
 	}
@@ -370,7 +370,7 @@
 		}
 		return
 	}
-	g.holder.Granted(addr, ask, grant, sentAt)
+	g.holder.ApplyGrant(addr, ask, grant, sentAt)
 	for i, p := range ask.Parts {
 		g.serve(p.Team, now)
 		if i < len(grant.Shares) && p.Needed > 0 {
--- a/internal/app/access/access_test.go
+++ b/internal/app/access/access_test.go
@@ -37,10 +37,10 @@
 	f := &fakeIssuers{at: map[string]*quota.Issuer{}, asked: map[string]int{}, refuses: map[string]bool{}}
 	for _, a := range addrs {
 		now := time.Now()
-		i := quota.NewIssuer(quota.IssuerOptions{Bound: bound, Fresh: true}, now)
+		i := quota.NewIssuer(quota.IssuerOptions{Bound: bound, FirstStart: true}, now)
 		i.SetShare(1/float64(len(addrs)), true, now)
 		i.SetTeams([]configstate.Team{*team}, now)
-		i.Stored(i.ToStore(now))
+		i.ConfirmStored(i.StateToStore(now))
 		f.at[a] = i
 	}
 	return f
@@ -61,7 +61,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	grant := i.Answer(req.From, req.GetQuotaAsk(), time.Now())
-	i.Stored(i.ToStore(time.Now()))
+	i.ConfirmStored(i.StateToStore(time.Now()))
 	return &pb.Response{Body: &pb.Response_QuotaGrant{QuotaGrant: grant}}, nil
 }
 
@@ -166,7 +166,7 @@
 	g := newGate(newIssuers("c1"), "c1")
 	now := time.Now()
 	ask := &pb.QuotaAsk{Parts: []*pb.QuotaPart{{Team: team.Name}}}
-	g.holder.Granted("c1", ask, &pb.QuotaGrant{Shares: []*pb.QuotaShare{{Granted: 1e12}}}, now.Add(time.Hour))
+	g.holder.ApplyGrant("c1", ask, &pb.QuotaGrant{Shares: []*pb.QuotaShare{{Granted: 1e12}}}, now.Add(time.Hour))
 	for b.Loop() {
 		if _, f := take(g); f != nil {
 			b.Fatal(f)
--- a/internal/app/control/changes_test.go
+++ b/internal/app/control/changes_test.go
@@ -119,7 +119,7 @@
 	}
 	m.f.mu.Lock()
 	m.f.prompts.Add("h1", []holders.Place{{Chain: 7, Server: 70}})
-	m.f.reg.HearControl(registry.Control{Peer: addr, Region: "r", HeardAt: m.f.o.Clock.Now()})
+	m.f.reg.UpdateControl(registry.Control{Peer: addr, Region: "r", LastSeen: m.f.o.Clock.Now()})
 	m.f.mu.Unlock()
 	m.f.exchange(context.Background(), addr) // fails
 	if after, _ := m.f.exchangeFor(addr); len(holders.Decode(after.Prompts)) != 1 {
--- a/internal/app/control/controls.go
+++ b/internal/app/control/controls.go
@@ -18,12 +18,12 @@
 		list[addr] = &pb.ControlHost{Peer: addr}
 	}
 	for _, c := range f.reg.KnownControls() {
-		list[c.Peer] = &pb.ControlHost{Peer: c.Peer, FailureDomain: c.FailureDomain, Heard: c.Heard(now)}
+		list[c.Peer] = &pb.ControlHost{Peer: c.Peer, FailureDomain: c.FailureDomain, Heard: c.Live(now)}
 	}
 	list[f.o.Peer] = &pb.ControlHost{Peer: f.o.Peer, FailureDomain: f.o.FailureDomain, Heard: true}
 	next := slices.SortedFunc(maps.Values(list), func(a, b *pb.ControlHost) int { return strings.Compare(a.Peer, b.Peer) })
 	if !slices.EqualFunc(next, f.controls, sameControl) {
-		f.controls, f.controlsAt = next, f.reg.Touch()
+		f.controls, f.controlsAt = next, f.reg.BumpVersion()
 	}
 }
 
--- a/internal/app/control/exchange.go
+++ b/internal/app/control/exchange.go
@@ -59,7 +59,7 @@
 		addrs[a] = true
 	}
 	f.mu.Lock()
-	speaks := f.reg.Speaks(f.o.Peer, f.o.Clock.Now())
+	speaks := f.reg.RepresentsDomain(f.o.Peer, f.o.Clock.Now())
 	for addr, domain := range f.named {
 		addrs[addr] = speaks || f.o.Regions[domain] == f.o.Region
 	}
@@ -107,7 +107,7 @@
 		Store: f.replica.o.Identity.Store, Peer: f.o.Peer, Operator: f.o.Operator,
 		Region: f.o.Region, FailureDomain: f.o.FailureDomain,
 	}
-	if f.reg.Speaks(f.o.Peer, now) {
+	if f.reg.RepresentsDomain(f.o.Peer, now) {
 		x.Loads = f.regionLoadsLocked(now)
 	}
 	if last.controls != f.controlsAt {
@@ -116,7 +116,7 @@
 	to := f.reg.Control(addr)
 	far := to != nil && to.Region != f.o.Region
 	f.addHostsLocked(x, last, far, now)
-	if to == nil || !to.Heard(now) {
+	if to == nil || !to.Live(now) {
 		return x, next
 	}
 	var servers []*registry.Server
@@ -127,15 +127,15 @@
 	}
 	var places []holders.Place
 	if far {
-		places, next.prompts = f.prompts.OfDomain(last.prompts)
+		places, next.prompts = f.prompts.FromDomain(last.prompts)
 		places = holders.InRegion(f.o.Region, places)
 		f.addControlsLocked(x, now)
 	} else {
-		places, next.prompts = f.prompts.Direct(last.prompts)
-		x.ServerLoads = serverload.Encode(f.reg.DirectLoads())
+		places, next.prompts = f.prompts.FromEntryHosts(last.prompts)
+		x.ServerLoads = serverload.Encode(f.reg.OwnedLoads())
 	}
 	x.Prompts = holders.Encode(places)
-	x.Quarantine, next.verdicts = f.replica.verdictsSince(last.verdicts, exchangeRecords, quarantine.All)
+	x.Quarantine, next.verdicts = f.replica.verdictsSince(last.verdicts, exchangeRecords, quarantine.AllRecords)
 	return x, next
 }
 
@@ -143,11 +143,11 @@
 // themselves here, and for other regions those of the whole failure domain.
 func (f *Fleet) addHostsLocked(x *pb.ControlExchange, last told, far bool, now time.Time) {
 	for _, h := range f.reg.Hosts(now) {
-		heardAt := h.PresentedAt
+		heardAt := h.SyncedHereAt
 		switch {
-		case far && f.reg.HeardInDomain(h):
-			heardAt = h.HeardAt
-		case !f.reg.PresentsItself(h, now):
+		case far && f.reg.SyncedInDomain(h):
+			heardAt = h.LastSeen
+		case !f.reg.SyncsHere(h, now):
 			continue
 		}
 		switch {
@@ -181,7 +181,7 @@
 func (f *Fleet) addControlsLocked(x *pb.ControlExchange, now time.Time) {
 	for _, c := range f.reg.Controls(now) {
 		if c.FailureDomain == f.o.FailureDomain {
-			x.Controls = append(x.Controls, &pb.ControlHeard{Store: c.Store, Peer: c.Peer, Operator: c.Operator, AgeMs: uint32(age(c.HeardAt, now))})
+			x.Controls = append(x.Controls, &pb.ControlHeard{Store: c.Store, Peer: c.Peer, Operator: c.Operator, AgeMs: uint32(age(c.LastSeen, now))})
 		}
 	}
 }
@@ -191,12 +191,12 @@
 // all regions, as it may speak for the failure domain; one of another region those of its own
 // that were heard anywhere in the failure domain.
 func (f *Fleet) serversSinceLocked(last told, to *registry.Control, now time.Time) ([]*registry.Server, uint64) {
-	heard, next, complete := f.reg.HeardSince(last.servers)
+	heard, next, complete := f.reg.AnnouncedSince(last.servers)
 	if !complete || !last.allServers {
 		return f.reg.DirectServers(to.Region, now), next
 	}
 	heard = slices.DeleteFunc(heard, func(s *registry.Server) bool {
-		here := s.HeardHere() || (to.Region != f.o.Region && s.Via == f.o.FailureDomain)
+		here := s.AnnouncedHere() || (to.Region != f.o.Region && s.Via == f.o.FailureDomain)
 		concerns := to.FailureDomain == f.o.FailureDomain || f.reg.RegionOf(s.FailureDomain) == to.Region
 		return !s.Gone && !(here && concerns)
 	})
@@ -209,9 +209,9 @@
 	now := f.o.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reg.HearControl(registry.Control{
+	f.reg.UpdateControl(registry.Control{
 		Store: x.Store, Peer: x.Peer, Operator: x.Operator, Region: x.Region, FailureDomain: x.FailureDomain,
-		HeardAt: now, Loads: x.Loads, LoadsAt: now, ServerLoads: serverload.Decode(x.ServerLoads),
+		LastSeen: now, Loads: x.Loads, LoadsAt: now, ServerLoads: serverload.Decode(x.ServerLoads),
 	})
 	for _, c := range x.ControlHosts {
 		if c.FailureDomain != "" {
@@ -220,23 +220,23 @@
 	}
 	for _, c := range x.Controls {
 		if c.Peer != f.o.Peer {
-			f.reg.HearOfControl(registry.Control{
-				Store: c.Store, Peer: c.Peer, Operator: c.Operator, Region: x.Region, FailureDomain: x.FailureDomain, HeardAt: now.Add(-milliseconds(uint64(c.AgeMs))),
+			f.reg.UpdateReportedControl(registry.Control{
+				Store: c.Store, Peer: c.Peer, Operator: c.Operator, Region: x.Region, FailureDomain: x.FailureDomain, LastSeen: now.Add(-milliseconds(uint64(c.AgeMs))),
 			})
 		}
 	}
 	if x.FailureDomain == f.o.FailureDomain {
-		f.prompts.AddOfDomain(holders.Decode(x.Prompts))
+		f.prompts.AddFromDomain(holders.Decode(x.Prompts))
 	} else {
 		f.prompts.Add("", holders.Decode(x.Prompts))
 	}
 	if f.replica.mergeVerdicts(x.Quarantine, x.Store) {
-		f.reg.Touch()
+		f.reg.BumpVersion()
 	}
 	for _, h := range x.Hosts {
-		f.reg.HearHost(registry.Host{
+		f.reg.UpdateHost(registry.Host{
 			ID: h.Id, Peer: h.Peer, Caller: h.Caller, Region: h.Region, FailureDomain: h.FailureDomain, Ready: h.Ready, Primary: h.Primary, Via: x.FailureDomain,
-			HeardAt: now.Add(-milliseconds(h.AgeMs)),
+			LastSeen: now.Add(-milliseconds(h.AgeMs)),
 		}, now)
 	}
 	complete = f.hearAgainLocked(x.HeardHosts, x.HeardAges, true, x.FailureDomain, now)
@@ -249,7 +249,7 @@
 		heard := now.Add(-milliseconds(s.AgeMs))
 		f.reg.Announce(registry.Server{
 			ID: s.Id, Start: s.Start, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain, Sequence: s.Sequence,
-			Slots: int(s.Slots), Leaving: s.Leaving, Release: s.Release, HeardAt: heard, FirstSeen: now.Add(-milliseconds(s.FirstSeenMs)),
+			Slots: int(s.Slots), Leaving: s.Leaving, Release: s.Release, LastSeen: heard, FirstSeen: now.Add(-milliseconds(s.FirstSeenMs)),
 			ColdUntil: heard.Add(milliseconds(s.ColdMs)), Via: x.FailureDomain,
 		}, now)
 	}
@@ -264,7 +264,7 @@
 	for i, key := range keys {
 		if i < len(ages) {
 			heardAt := now.Add(-milliseconds(uint64(ages[i] >> 1)))
-			complete = f.reg.HearHostAgain(key, owned, ages[i]&1 == 1, via, heardAt, now) && complete
+			complete = f.reg.RenewHost(key, owned, ages[i]&1 == 1, via, heardAt, now) && complete
 		}
 	}
 	return complete
--- a/internal/app/control/fleet.go
+++ b/internal/app/control/fleet.go
@@ -111,7 +111,7 @@
 func (f *Fleet) configurationChanged() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reg.Touch()
+	f.reg.BumpVersion()
 	f.wakeLocked()
 }
 
@@ -122,7 +122,7 @@
 	if _, ok := f.o.Regions[s.FailureDomain]; !ok {
 		return "", failure.New(failure.BadRequest, failure.NotRun, "failure domain %q is not known", s.FailureDomain)
 	}
-	s.HeardAt, s.Direct = now, now
+	s.LastSeen, s.DirectAt = now, now
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	news := f.reg.Announce(s, now)
@@ -156,7 +156,7 @@
 	if len(there) == 0 {
 		there = near
 	}
-	return rendezvous.First(server, there)
+	return rendezvous.Owner(server, there)
 }
 
 // Leave records that a start of a backend server is gone; 0 means the one that is known.
--- a/internal/app/control/peer.go
+++ b/internal/app/control/peer.go
@@ -110,7 +110,7 @@
 			base = a.Record
 		}
 	}
-	return configstate.Reply(p.Blob, f.HaveGeneration, f.HaveVersion, base)
+	return configstate.UpdateFor(p.Blob, f.HaveGeneration, f.HaveVersion, base)
 }
 
 // HandleForward implements port.PeerHandler: control hosts serve no callers.
--- a/internal/app/control/quotas.go
+++ b/internal/app/control/quotas.go
@@ -32,7 +32,7 @@
 // out counts as spent; if that can't be read, all of it.
 func newQuotas(o Options) *quotas {
 	q := &quotas{clock: o.Clock, log: o.Log, store: o.QuotaStore, epoch: uint64(o.Clock.Now().UnixNano()), logged: map[string]time.Time{}}
-	io := quota.IssuerOptions{Bound: o.Quotas, Fresh: o.FirstStart, Settle: issuerSettle}
+	io := quota.IssuerOptions{Bound: o.Quotas, FirstStart: o.FirstStart, SettlePeriod: issuerSettle}
 	if q.store != nil {
 		var err error
 		if io.Restored, err = q.store.Load(); err != nil {
@@ -67,7 +67,7 @@
 
 func (q *quotas) save() error {
 	q.mu.Lock()
-	units := q.issuer.ToStore(q.clock.Now())
+	units := q.issuer.StateToStore(q.clock.Now())
 	q.mu.Unlock()
 	if units == nil {
 		return nil
@@ -76,13 +76,13 @@
 		if err := q.store.Save(units); err != nil {
 			q.mu.Lock()
 			defer q.mu.Unlock()
-			q.issuer.NotStored()
+			q.issuer.InvalidateStored()
 			return err
 		}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.issuer.Stored(units)
+	q.issuer.ConfirmStored(units)
 	return nil
 }
 
@@ -117,7 +117,7 @@
 	q.logged[p.Team] = now
 	l := q.issuer.Level(p.Team, now)
 	q.log.Info("quota used up here", "team", p.Team, "host_id", from, "needed", int64(p.Needed), "granted", int64(s.Granted), "more_in_ms", s.MoreInMs,
-		"size", int64(l.Size), "free", int64(l.Free), "borrowed", int64(l.Borrowed), "lent", int64(l.Lent), "held", int64(l.Held), "back_later", int64(l.Back), "asked_per_s", int64(l.DemandPerSecond))
+		"size", int64(l.Size), "free", int64(l.Free), "borrowed", int64(l.Borrowed), "lent", int64(l.Lent), "held", int64(l.Held), "back_later", int64(l.PendingReturn), "asked_per_s", int64(l.DemandPerSecond))
 }
 
 // TeamLevels returns what this control host has of the teams' quotas.
@@ -196,7 +196,7 @@
 	sentAt := r.o.Clock.Now()
 	q := r.quotas
 	q.mu.Lock()
-	ask := q.issuer.Borrow(addr, lenders, sentAt)
+	ask := q.issuer.ComposeBorrowAsk(addr, lenders, sentAt)
 	q.sequence++
 	sequence := q.sequence
 	q.mu.Unlock()
@@ -214,5 +214,5 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.issuer.Borrowed(addr, ask, resp.GetQuotaGrant(), sentAt, r.o.Clock.Now())
+	q.issuer.ApplyLoan(addr, ask, resp.GetQuotaGrant(), sentAt, r.o.Clock.Now())
 }
--- a/internal/app/control/repair.go
+++ b/internal/app/control/repair.go
@@ -80,7 +80,7 @@
 	live := []consensus.LiveStore{{ID: r.o.Identity.Store, Address: r.fleet.o.Peer, Region: r.o.Region, FailureDomain: r.o.FailureDomain}}
 	now := r.o.Clock.Now()
 	for _, c := range r.fleet.liveControls() {
-		if now.Sub(c.HeardAt) <= joinsWithin {
+		if now.Sub(c.LastSeen) <= joinsWithin {
 			live = append(live, consensus.LiveStore{ID: c.Store, Address: c.Peer, Region: c.Region, FailureDomain: c.FailureDomain})
 		}
 	}
--- a/internal/app/control/report.go
+++ b/internal/app/control/report.go
@@ -29,7 +29,7 @@
 	now := f.o.Clock.Now()
 	out := FleetReport{Host: f.o.Peer, FailureDomain: f.o.FailureDomain, Staleness: f.replica.Staleness(), Domains: f.reg.Census(now)}
 	for _, c := range f.reg.KnownControls() {
-		out.Controls = append(out.Controls, ControlReport{c.Peer, c.FailureDomain, now.Sub(c.HeardAt), c.Heard(now)})
+		out.Controls = append(out.Controls, ControlReport{c.Peer, c.FailureDomain, now.Sub(c.LastSeen), c.Live(now)})
 	}
 	return out
 }
--- a/internal/app/control/seal.go
+++ b/internal/app/control/seal.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, failure.New(failure.Internal, "", "the document was sealed with another group's key")
 	}
-	document, err := configstate.Inflate(packed)
+	document, err := configstate.Decompress(packed)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "")
 	}
--- a/internal/app/control/speakers_test.go
+++ b/internal/app/control/speakers_test.go
@@ -160,7 +160,7 @@
 		t.Errorf("%d messages an interval, %d of them between regions; want %d and %d", w.told, w.far, inRegion+elsewhere, elsewhere)
 	}
 	for _, h := range w.fleets["r1d1c2"].reg.Hosts(w.clock.Now()) {
-		if age := w.clock.Now().Sub(h.HeardAt); age > hostLease/2 {
+		if age := w.clock.Now().Sub(h.LastSeen); age > hostLease/2 {
 			t.Errorf("%s was heard %s ago", h.ID, age)
 		}
 	}
@@ -208,11 +208,11 @@
 		if s := other.reg.Server("s"); s == nil || s.Gone {
 			t.Errorf("%s does not know the server", addr)
 		}
-		if places, _ := other.prompts.For("nobody", 0); len(places) != 1 || places[0].Server != holders.Key("r0") {
+		if places, _ := other.prompts.ForHost("nobody", 0); len(places) != 1 || places[0].Server != holders.Key("r0") {
 			t.Errorf("%s knows of prompts at %v", addr, places)
 		}
 	}
-	if places, _ := w.fleets["r0d0c2"].prompts.For("nobody", 0); len(places) != 1 || places[0].Server != 70 {
+	if places, _ := w.fleets["r0d0c2"].prompts.ForHost("nobody", 0); len(places) != 1 || places[0].Server != 70 {
 		t.Errorf("in its own region prompts are at %v", places)
 	}
 }
--- a/internal/app/control/verdicts.go
+++ b/internal/app/control/verdicts.go
@@ -45,7 +45,7 @@
 		have = m.Have
 	}
 	out := &pb.QuarantineUpdate{Epoch: r.verdicts.epoch}
-	out.Records, out.Next = r.verdictsSince(have, viewRecords, quarantine.Decisive)
+	out.Records, out.Next = r.verdictsSince(have, viewRecords, quarantine.NeededByEntryHosts)
 	return out
 }
 
@@ -58,17 +58,17 @@
 	r.verdicts.mu.Lock()
 	defer r.verdicts.mu.Unlock()
 	for _, c := range r.verdicts.table.Merge(records, now) {
-		if c.After.Ends > 1 || c.Before.Ends > 1 {
+		if c.After.ServerCrashes > 1 || c.Before.ServerCrashes > 1 {
 			decisive = true
 			r.o.Log.Info("verdict on a request", "verdict", c.After.Verdict.String(), "fingerprint", c.Fingerprint.String(), "team", c.Team,
-				"service", c.Service, "release", c.Release, "ends", c.After.Ends, "told_by", from)
+				"service", c.Service, "release", c.Release, "ends", c.After.ServerCrashes, "told_by", from)
 		}
 	}
 	return decisive
 }
 
 // verdictsSince returns records to tell another host; see quarantine.Table.
-func (r *Replica) verdictsSince(revision uint64, most int, wanted quarantine.Wanted) ([]*pb.QuarantineRecord, uint64) {
+func (r *Replica) verdictsSince(revision uint64, most int, wanted quarantine.RecordFilter) ([]*pb.QuarantineRecord, uint64) {
 	r.verdicts.mu.Lock()
 	defer r.verdicts.mu.Unlock()
 	return r.verdicts.table.Since(revision, most, wanted, r.o.Clock.Now())
@@ -135,7 +135,7 @@
 func (r *Replica) forgetVerdicts() {
 	r.verdicts.mu.Lock()
 	defer r.verdicts.mu.Unlock()
-	r.verdicts.table.Forget(r.o.Clock.Now())
+	r.verdicts.table.RemoveExpired(r.o.Clock.Now())
 }
 
 // keepNew puts the verdicts that are not in the log yet into it, and the ends of those that are.
@@ -143,10 +143,10 @@
 	r.verdicts.mu.Lock()
 	from := r.verdicts.inLog
 	r.verdicts.mu.Unlock()
-	records, next := r.verdictsSince(from, viewRecords, quarantine.All)
+	records, next := r.verdictsSince(from, viewRecords, quarantine.AllRecords)
 	kept := configstate.KeptByFingerprint(r.published.Load().Quarantined)
 	for _, m := range records {
-		if !configstate.MustKeep(m, kept[string(m.Fingerprint)]) {
+		if !configstate.MustReplaceKept(m, kept[string(m.Fingerprint)]) {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, keepTimeout)
--- a/internal/app/control/view.go
+++ b/internal/app/control/view.go
@@ -22,15 +22,15 @@
 	now := f.o.Clock.Now()
 	h := m.GetHost()
 	f.mu.Lock()
-	news := f.reg.HearHost(registry.Host{
+	news := f.reg.UpdateHost(registry.Host{
 		ID: h.GetId(), Peer: h.GetPeer(), Caller: h.GetCaller(), Region: h.GetRegion(), FailureDomain: h.GetFailureDomain(),
-		Ready: h.GetReady(), HeardAt: now, Direct: true, Primary: m.Primary, Loads: serverload.Decode(m.Loads),
+		Ready: h.GetReady(), LastSeen: now, Direct: true, Primary: m.Primary, Loads: serverload.Decode(m.Loads),
 	}, now)
 	if news {
 		f.o.Log.Info("entry host presented itself", "host_id", h.GetId(), "caller", h.GetCaller(), "ready", h.GetReady())
 	}
 	if f.replica.mergeVerdicts(m.Quarantine, h.GetId()) {
-		f.reg.Touch()
+		f.reg.BumpVersion()
 	}
 	if h.GetRegion() == f.o.Region {
 		f.prompts.Add(h.GetId(), holders.Decode(m.Prompts))
@@ -79,7 +79,7 @@
 	}
 	if region == f.o.Region {
 		var places []holders.Place
-		places, v.PromptsNext = f.prompts.For(host, m.HavePrompts)
+		places, v.PromptsNext = f.prompts.ForHost(host, m.HavePrompts)
 		v.Prompts = holders.Encode(places)
 	} else {
 		v.Regions = append(v.Regions, f.regionLoadsLocked(now)...)
@@ -93,7 +93,7 @@
 	if m.HaveEpoch == f.epoch {
 		known = m.HaveQuarantine
 	}
-	v.Quarantine, v.QuarantineNext = f.replica.verdictsSince(known, viewRecords, quarantine.Decisive)
+	v.Quarantine, v.QuarantineNext = f.replica.verdictsSince(known, viewRecords, quarantine.NeededByEntryHosts)
 	return v
 }
 
@@ -112,7 +112,7 @@
 // addLists adds the servers of the entry host's region and all entry hosts to its view:
 // what changed since the view that it has, and which servers were heard since.
 func (f *Fleet) addLists(v *pb.FleetView, m *pb.FleetSync, region string, now time.Time) {
-	changes, complete := f.reg.Since(m.HaveVersion, region, now)
+	changes, complete := f.reg.ChangesSince(m.HaveVersion, region, now)
 	if v.Changes = complete && m.HaveEpoch == f.epoch; !v.Changes {
 		changes = registry.Changes{Servers: append(f.reg.Gone(region), f.reg.List(region)...), Hosts: f.reg.Hosts(now)}
 	}
@@ -121,9 +121,9 @@
 		v.Servers = append(v.Servers, serverMessage(s, now))
 	}
 	for _, h := range changes.Hosts {
-		v.Hosts = append(v.Hosts, hostMessage(h, h.HeardAt, now))
+		v.Hosts = append(v.Hosts, hostMessage(h, h.LastSeen, now))
 	}
-	heard, next, complete := f.reg.HeardSince(m.HaveHeard)
+	heard, next, complete := f.reg.AnnouncedSince(m.HaveHeard)
 	v.HeardNext = next
 	switch {
 	case !v.Changes:
@@ -134,7 +134,7 @@
 	for _, s := range heard {
 		if f.reg.Listed(s, region) {
 			v.HeardServers = append(v.HeardServers, s.Key())
-			v.HeardAges = append(v.HeardAges, uint32(age(s.HeardAt, now)/registry.AgeUnitMS))
+			v.HeardAges = append(v.HeardAges, uint32(age(s.LastSeen, now)/registry.AgeUnitMS))
 		}
 	}
 }
@@ -179,10 +179,10 @@
 	}
 	m := &pb.FleetServer{
 		Id: s.ID, Start: s.Start, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain, Sequence: s.Sequence,
-		Slots: uint32(s.Slots), Leaving: s.Leaving, Release: s.Release, AgeMs: age(s.HeardAt, now), FirstSeenMs: age(s.FirstSeen, now),
+		Slots: uint32(s.Slots), Leaving: s.Leaving, Release: s.Release, AgeMs: age(s.LastSeen, now), FirstSeenMs: age(s.FirstSeen, now),
 	}
-	if s.ColdUntil.After(s.HeardAt) {
-		m.ColdMs = uint64(s.ColdUntil.Sub(s.HeardAt).Milliseconds())
+	if s.ColdUntil.After(s.LastSeen) {
+		m.ColdMs = uint64(s.ColdUntil.Sub(s.LastSeen).Milliseconds())
 	}
 	return m
 }
--- a/internal/app/crashwatch/crashwatch.go
+++ b/internal/app/crashwatch/crashwatch.go
@@ -44,8 +44,8 @@
 
 	mu     sync.Mutex
 	table  *quarantine.Table
-	breaks *quarantine.Breaks
-	checks map[quarantine.Start]*check
+	breaks *quarantine.CrashDetector
+	checks map[quarantine.ServerProcess]*check
 	change func()
 }
 
@@ -58,8 +58,8 @@
 // New returns a watch that knows nothing yet.
 func New(o Options) *Watch {
 	return &Watch{
-		o: o, table: quarantine.New(o.Quarantine), breaks: quarantine.NewBreaks(o.AnnounceEvery),
-		checks: map[quarantine.Start]*check{},
+		o: o, table: quarantine.New(o.Quarantine), breaks: quarantine.NewCrashDetector(o.AnnounceEvery),
+		checks: map[quarantine.ServerProcess]*check{},
 	}
 }
 
@@ -80,13 +80,13 @@
 	if j.Verdict != quarantine.Quarantined && j.Verdict != quarantine.Busy {
 		return j, nil
 	}
-	w.o.Log.Info("request refused as a crashing one", "request_id", requestID, "fingerprint", f.String(), "verdict", j.Verdict.String(), "ends", j.Ends)
+	w.o.Log.Info("request refused as a crashing one", "request_id", requestID, "fingerprint", f.String(), "verdict", j.Verdict.String(), "ends", j.ServerCrashes)
 	if j.Verdict == quarantine.Quarantined {
 		w.o.Metrics.Add("refused_quarantined", 1)
-		return j, failure.New(failure.Quarantined, failure.NotRun, "%d servers ended while they ran it; fingerprint %s", j.Ends, f)
+		return j, failure.New(failure.Quarantined, failure.NotRun, "%d servers ended while they ran it; fingerprint %s", j.ServerCrashes, f)
 	}
 	w.o.Metrics.Add("refused_suspected", 1)
-	return j, failure.New(failure.Suspected, failure.NotRun, "%d servers ended while they ran it, and it is being tried; fingerprint %s", j.Ends, f).
+	return j, failure.New(failure.Suspected, failure.NotRun, "%d servers ended while they ran it, and it is being tried; fingerprint %s", j.ServerCrashes, f).
 		WithRetryAfter(busyRetry)
 }
 
@@ -106,14 +106,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before := w.table.Judge(f, w.o.Clock.Now())
-	if w.table.Served(f, w.o.Clock.Now()) && before.Ends > 1 {
-		w.o.Log.Info("suspicion ended", "fingerprint", f.String(), "ends", before.Ends, "verdict", before.Verdict.String(), "reason", "a server answered it")
+	if w.table.RecordAnswer(f, w.o.Clock.Now()) && before.ServerCrashes > 1 {
+		w.o.Log.Info("suspicion ended", "fingerprint", f.String(), "ends", before.ServerCrashes, "verdict", before.Verdict.String(), "reason", "a server answered it")
 	}
 }
 
 // Broken takes that a server broke off a request, and returns once it is known whether the
 // server's process has ended, as far as that can be asked.
-func (w *Watch) Broken(b quarantine.Break, e quarantine.Evidence) {
+func (w *Watch) Broken(b quarantine.ConnectionBreak, e quarantine.Evidence) {
 	e.Server = b.Start.Key()
 	w.mu.Lock()
 	if w.breaks.Add(b, e, w.o.Clock.Now()) {
@@ -132,21 +132,21 @@
 }
 
 // Ended takes proof that the server's process ended while it ran a request.
-func (w *Watch) Ended(b quarantine.Break, e quarantine.Evidence) {
+func (w *Watch) Ended(b quarantine.ConnectionBreak, e quarantine.Evidence) {
 	e.Server = b.Start.Key()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.countLocked([]quarantine.Evidence{e}, "another process runs under the server's ID")
 }
 
-func (w *Watch) ask(b quarantine.Break, c *check) {
+func (w *Watch) ask(b quarantine.ConnectionBreak, c *check) {
 	answer := w.look(b)
 	close(c.done)
 	if answer == port.Accepts {
 		time.Sleep(checkPause)
 		answer = w.look(b)
 	}
-	w.o.Log.Info("server checked after it broke off requests", "server", b.Start.ID, "start", b.Start.Born, "address", b.Address, "listening", answer.String())
+	w.o.Log.Info("server checked after it broke off requests", "server", b.Start.ID, "start", b.Start.StartID, "address", b.Address, "listening", answer.String())
 	time.AfterFunc(checkHolds, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -157,7 +157,7 @@
 }
 
 // look asks whether a process listens at the server's address, and counts what that proves.
-func (w *Watch) look(b quarantine.Break) port.Listening {
+func (w *Watch) look(b quarantine.ConnectionBreak) port.Listening {
 	if w.o.Probe == nil {
 		return port.NoAnswer
 	}
@@ -167,7 +167,7 @@
 	if answer == port.Refuses {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.countLocked(w.breaks.Refused(b.Start), "no process listens at the server's address")
+		w.countLocked(w.breaks.ConnectionRefused(b.Start), "no process listens at the server's address")
 	}
 	return answer
 }
@@ -180,31 +180,31 @@
 }
 
 // Heard takes which servers are known.
-func (w *Watch) Heard(servers []quarantine.Sighting) {
+func (w *Watch) Heard(servers []quarantine.Announcement) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.o.Clock.Now()
-	proved, alive := w.breaks.Heard(servers, now)
+	proved, alive := w.breaks.ObserveAnnouncements(servers, now)
 	w.countLocked(proved, "another server was heard under its ID or at its address")
 	for _, key := range alive {
-		for _, f := range w.table.Alive(key, now) {
+		for _, f := range w.table.RecordAlive(key, now) {
 			w.o.Log.Info("evidence taken back", "fingerprint", f.String(), "server_key", key, "reason", "the server was heard again")
 		}
 	}
-	w.table.Forget(now)
+	w.table.RemoveExpired(now)
 }
 
 // countLocked counts evidence against the requests that it names.
 func (w *Watch) countLocked(list []quarantine.Evidence, proof string) {
 	now, news := w.o.Clock.Now(), false
 	for _, e := range list {
-		j, counted := w.table.Ended(e, now)
+		j, counted := w.table.RecordCrash(e, now)
 		if !counted {
 			continue
 		}
 		news = true
 		w.o.Metrics.Add("servers_ended_under_requests", 1)
-		if j.Ends > 1 {
+		if j.ServerCrashes > 1 {
 			w.logVerdict(quarantine.Change{Fingerprint: e.Fingerprint, After: j, Team: e.Team, Service: e.Service, Release: e.Release}, "proof", proof, "server_key", e.Server)
 		}
 	}
@@ -217,16 +217,16 @@
 func (w *Watch) logVerdict(c quarantine.Change, kv ...any) {
 	event := "request suspected"
 	switch {
-	case c.After.Ends >= quarantine.Crashes:
+	case c.After.ServerCrashes >= quarantine.CrashThreshold:
 		event = "request quarantined"
 		w.o.Metrics.Add("requests_quarantined", 1)
-	case c.After.Ends == 0:
+	case c.After.ServerCrashes == 0:
 		event = "quarantine or suspicion lifted"
 	}
-	attrs := []any{"fingerprint", c.Fingerprint.String(), "team", c.Team, "service", c.Service, "release", c.Release, "ends", c.After.Ends}
-	last := c.After.Last
-	if c.After.Ends == 0 {
-		last = c.Before.Last // nothing is left after it
+	attrs := []any{"fingerprint", c.Fingerprint.String(), "team", c.Team, "service", c.Service, "release", c.Release, "ends", c.After.ServerCrashes}
+	last := c.After.LastCrash
+	if c.After.ServerCrashes == 0 {
+		last = c.Before.LastCrash // nothing is left after it
 	}
 	if !last.IsZero() {
 		attrs = append(attrs, "since_ms", max(0, w.o.Clock.Now().Sub(last).Milliseconds()))
@@ -242,14 +242,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.table.Merge(records, w.o.Clock.Now()) {
-		if c.After.Ends > 1 || c.Before.Ends > 1 {
+		if c.After.ServerCrashes > 1 || c.Before.ServerCrashes > 1 {
 			w.logVerdict(c, "told_by", from)
 		}
 	}
 }
 
 // Since returns records to tell another host; see quarantine.Table.
-func (w *Watch) Since(revision uint64, most int, wanted quarantine.Wanted) ([]*pb.QuarantineRecord, uint64) {
+func (w *Watch) Since(revision uint64, most int, wanted quarantine.RecordFilter) ([]*pb.QuarantineRecord, uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.table.Since(revision, most, wanted, w.o.Clock.Now())
--- a/internal/app/entry/config.go
+++ b/internal/app/entry/config.go
@@ -201,7 +201,7 @@
 	if prev := h.previous.Load(); prev != nil && prev.Stamp.Version == f.HaveVersion && prev.Stamp.Generation == f.HaveGeneration {
 		base = prev.Raw
 	}
-	return configstate.Reply(v.Blob, f.HaveGeneration, f.HaveVersion, base)
+	return configstate.UpdateFor(v.Blob, f.HaveGeneration, f.HaveVersion, base)
 }
 
 const directoryTTL = 15 * time.Second
--- a/internal/app/entry/crashes.go
+++ b/internal/app/entry/crashes.go
@@ -16,16 +16,16 @@
 }
 
 // breakOf names the start of a place's server, as it is when the attempt begins.
-func (h *Host) breakOf(p *placement.Place) quarantine.Break {
+func (h *Host) breakOf(p *placement.Place) quarantine.ConnectionBreak {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return quarantine.Break{Start: quarantine.Start{ID: p.ServerID, Born: int64(p.Server.State.Incarnation)}, Address: p.Address}
+	return quarantine.ConnectionBreak{Start: quarantine.ServerProcess{ID: p.ServerID, StartID: int64(p.Server.State.Incarnation)}, Address: p.Address}
 }
 
 // noteSurvival tells the watch how an attempt went for its server. Only an answer that came to
 // its end, and a connection that the server ended, say anything of it: not a caller that left,
 // a deadline, a stall, or a server that was leaving.
-func (h *Host) noteSurvival(ctx context.Context, x *execution, b quarantine.Break, res result) {
+func (h *Host) noteSurvival(ctx context.Context, x *execution, b quarantine.ConnectionBreak, res result) {
 	switch {
 	case res.point == retry.Answered:
 		h.o.Crashes.Served(x.fingerprint)
@@ -35,7 +35,7 @@
 	}
 	h.mu.Lock()
 	s := h.place.Table.Get(b.Start.ID)
-	left := s != nil && s.State.Leaving && int64(s.State.Incarnation) == b.Start.Born
+	left := s != nil && s.State.Leaving && int64(s.State.Incarnation) == b.Start.StartID
 	h.mu.Unlock()
 	if !left {
 		h.o.Crashes.Broken(b, quarantine.Evidence{Fingerprint: x.fingerprint, Team: x.r.Team, Service: x.r.Target})
@@ -47,11 +47,11 @@
 	if h.o.Crashes.Idle() {
 		return
 	}
-	var servers []quarantine.Sighting
+	var servers []quarantine.Announcement
 	h.mu.Lock()
 	for _, s := range h.place.Table.All() {
-		servers = append(servers, quarantine.Sighting{
-			Start: quarantine.Start{ID: s.State.Id, Born: int64(s.State.Incarnation)}, Address: s.State.Address, HeardAt: s.HeardAt,
+		servers = append(servers, quarantine.Announcement{
+			Start: quarantine.ServerProcess{ID: s.State.Id, StartID: int64(s.State.Incarnation)}, Address: s.State.Address, ReceivedAt: s.LastSeen,
 		})
 	}
 	h.mu.Unlock()
@@ -134,9 +134,9 @@
 	if p == nil {
 		return
 	}
-	wanted := quarantine.Own
+	wanted := quarantine.LocalChanges
 	if !p.toldAll {
-		wanted = quarantine.All
+		wanted = quarantine.AllRecords
 	}
 	records, next := h.o.Crashes.Since(p.told, maxCrashRecords, wanted)
 	if len(records) == 0 && !ask {
--- a/internal/app/entry/execute.go
+++ b/internal/app/entry/execute.go
@@ -113,7 +113,7 @@
 
 // result is how an attempt ended.
 type result struct {
-	point     retry.Break
+	point     retry.Stage
 	err       *failure.Error
 	connected bool // the other end worked as it should
 }
@@ -142,7 +142,7 @@
 			return nil // the last event was passed on: what follows it doesn't matter
 		}
 		d := retry.Decide(retry.Attempt{
-			Break: res.point, Idempotent: x.r.Idempotent,
+			Stage: res.point, Idempotent: x.r.Idempotent,
 			Relayed: x.headSent || x.r.Resume > 0, Resumable: x.r.Stream,
 		}, h.more(ctx, x, res))
 		if d.Action == retry.Finish {
--- a/internal/app/entry/explain.go
+++ b/internal/app/entry/explain.go
@@ -32,8 +32,8 @@
 
 // ExplainDecision is one choice.
 type ExplainDecision struct {
-	Chosen     string               `json:"chosen"`
-	Considered []routing.Considered `json:"considered"`
+	Chosen     string              `json:"chosen"`
+	Considered []routing.Candidate `json:"considered"`
 }
 
 // ExplainAttempt is one attempt.
--- a/internal/app/entry/gossip.go
+++ b/internal/app/entry/gossip.go
@@ -129,7 +129,7 @@
 		h.place.MergeSummary(s, now, false)
 	}
 	if m, ok := h.members.Get(from); ok && m.Draining != up.Draining {
-		h.members.Acked(from, m.Incarnation, up.Draining, now)
+		h.members.RecordContact(from, m.Incarnation, up.Draining, now)
 	}
 	h.mu.Unlock()
 	h.poke(h.wake)
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -194,7 +194,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), ledgerOp)
 	defer cancel()
-	f := h.ledger.drive(ctx, x.view, op, op.Follow(claim))
+	f := h.ledger.drive(ctx, x.view, op, op.StartAfterClaim(claim))
 	switch {
 	case f != nil:
 		h.o.Metrics.Add("ledger_unsettled", 1)
--- a/internal/app/entry/probe.go
+++ b/internal/app/entry/probe.go
@@ -24,7 +24,7 @@
 	h.noteFreeze()
 	h.probedAt.Store(h.o.Clock.Now().UnixNano())
 	h.mu.Lock()
-	targets := h.members.Targets()
+	targets := h.members.ProbeTargets()
 	h.mu.Unlock()
 	if len(targets) == 0 {
 		h.unsure.Store(false)
@@ -61,7 +61,7 @@
 		return
 	}
 	h.mu.Lock()
-	others := h.members.Helpers(target, helpers)
+	others := h.members.IndirectProbers(target, helpers)
 	h.mu.Unlock()
 	reached := make(chan bool, len(others))
 	for _, id := range others {
@@ -75,7 +75,7 @@
 		return
 	}
 	h.mu.Lock()
-	h.members.Failed(target, h.o.Clock.Now())
+	h.members.RecordProbeFailure(target, h.o.Clock.Now())
 	h.mu.Unlock()
 	if len(others) == 0 {
 		h.unsure.Store(false) // nobody to ask: alone, the host serves on
@@ -98,7 +98,7 @@
 	defer h.mu.Unlock()
 	now := h.o.Clock.Now()
 	h.members.Merge(ack.GetUpdates(), now)
-	h.members.Acked(target, resp.Incarnation, ack.GetDraining(), now)
+	h.members.RecordContact(target, resp.Incarnation, ack.GetDraining(), now)
 	return true
 }
 
@@ -120,7 +120,7 @@
 		h.o.Metrics.Add("held_dead", 1)
 		h.o.Log.Info("held dead by a neighbour; refuted", "by", req.From, "incarnation", h.members.Incarnation())
 	}
-	h.members.Acked(req.From, req.Incarnation, p.Draining, now)
+	h.members.RecordContact(req.From, req.Incarnation, p.Draining, now)
 	return &pb.ProbeAck{Updates: h.members.Updates(req.From), Draining: h.draining.Load()}
 }
 
@@ -139,7 +139,7 @@
 func (h *Host) memberEvents() {
 	h.mu.Lock()
 	events := h.members.Events()
-	h.place.Table.SetSharers(1 + len(h.members.Live()))
+	h.place.Table.SetSenders(1 + len(h.members.Live()))
 	h.mu.Unlock()
 	v := h.config.Load()
 	for _, e := range events {
--- a/internal/app/gateway/controlhosts.go
+++ b/internal/app/gateway/controlhosts.go
@@ -15,7 +15,7 @@
 	seeds  []string
 	listed []string                // by the control host that was heard last
 	known  map[string]*controlHost // by address
-	heard  controlhosts.Heard
+	heard  controlhosts.Contacts
 	// hostsOf is the control host whose list of entry hosts was last taken, at hostsAt.
 	hostsOf *controlHost
 	hostsAt time.Time
@@ -141,10 +141,10 @@
 	var candidates []controlhosts.Candidate
 	for _, addr := range c.allLocked() {
 		h := c.hostLocked(addr)
-		if h.domain != "" && !c.heard.Asks(g.distance(h.domain), configured, age, now) {
+		if h.domain != "" && !c.heard.ShouldQuery(g.distance(h.domain), configured, age, now) {
 			continue
 		}
-		candidates = append(candidates, controlhosts.Candidate{Address: addr, Domain: h.domain, Named: h.named, AvoidUntil: h.avoidUntil})
+		candidates = append(candidates, controlhosts.Candidate{Address: addr, Domain: h.domain, ReportedLive: h.named, AvoidUntil: h.avoidUntil})
 	}
 	var out []*controlHost
 	for _, chosen := range controlhosts.Choose(g.o.Host, candidates, now) {
@@ -207,7 +207,7 @@
 func (g *Gateway) lookAgainIn() time.Duration {
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
-	if g.control.heard.Calm(g.o.Clock.Now()) {
+	if g.control.heard.Stable(g.o.Clock.Now()) {
 		return calmPause
 	}
 	return syncPause
@@ -221,14 +221,14 @@
 func (c *controlList) avoid(h *controlHost, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h.avoidUntil = now.Add(controlhosts.Avoid)
+	h.avoidUntil = now.Add(controlhosts.AvoidDuration)
 }
 
 // primary reports whether a control host owns this host's figures.
 func (g *Gateway) primary(h *controlHost) bool {
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
-	return g.control.heard.Primary(h.addr, g.distance(h.domain), g.o.Clock.Now())
+	return g.control.heard.ClaimPrimary(h.addr, g.distance(h.domain), g.o.Clock.Now())
 }
 
 // noteHeard notes a control host's answer. It reports whether what it tells of the fleet
@@ -238,12 +238,12 @@
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
 	h.domain = view.HomeDomain
-	g.control.heard.Note(h.addr, g.distance(h.domain), staleness(view), now)
-	counts := g.control.heard.KnowsFleet(staleness(view), now)
+	g.control.heard.RecordAnswer(h.addr, g.distance(h.domain), staleness(view), now)
+	counts := g.control.heard.UsesFleetView(staleness(view), now)
 	if counts {
 		h.avoidUntil = time.Time{}
 	} else {
-		h.avoidUntil = now.Add(controlhosts.Avoid)
+		h.avoidUntil = now.Add(controlhosts.AvoidDuration)
 	}
 	return counts
 }
--- a/internal/app/gateway/crashes.go
+++ b/internal/app/gateway/crashes.go
@@ -29,7 +29,7 @@
 	case c.Server == nil:
 	case res.point == retry.Answered, res.outcome == dispatch.Failed && res.keep != nil:
 		g.o.Crashes.Served(x.fingerprint)
-	case ctx.Err() != nil || res.outcome != dispatch.Broke || res.point == retry.BeforeSend:
+	case ctx.Err() != nil || res.outcome != dispatch.ConnectionFailed || res.point == retry.BeforeSend:
 	default:
 		g.noteBreak(x, c.Server)
 	}
@@ -38,7 +38,7 @@
 func (g *Gateway) noteBreak(x *execution, s *dispatch.Server) {
 	g.mu.Lock()
 	replaced, left := s.Replaced(), g.fleet.IsGone(s) || s.Leaving
-	b := quarantine.Break{Start: quarantine.Start{ID: s.ID, Born: s.Start}, Address: s.Address}
+	b := quarantine.ConnectionBreak{Start: quarantine.ServerProcess{ID: s.ID, StartID: s.Start}, Address: s.Address}
 	e := quarantine.Evidence{Fingerprint: x.fingerprint, Team: x.teamName(), Service: x.service, Release: s.Release}
 	g.mu.Unlock()
 	switch {
@@ -55,7 +55,7 @@
 
 // tellWatch tells the watch which servers a view shows. The gateway is locked.
 func (g *Gateway) tellWatch() {
-	g.o.Crashes.SetHosts(g.fleet.AllHosts())
+	g.o.Crashes.SetHosts(g.fleet.HostCount())
 	if g.o.Crashes.Idle() {
 		return
 	}
--- a/internal/app/gateway/crashes_test.go
+++ b/internal/app/gateway/crashes_test.go
@@ -42,7 +42,7 @@
 
 // ends returns how many servers are held to have ended under a request.
 func (f *fixture) ends(path string) int {
-	records, _ := f.g.o.Crashes.Since(0, 100, quarantine.All)
+	records, _ := f.g.o.Crashes.Since(0, 100, quarantine.AllRecords)
 	want := fingerprintOf(f.request(path), nil)
 	for _, r := range records {
 		if string(r.Fingerprint) == string(want[:]) {
--- a/internal/app/gateway/execute.go
+++ b/internal/app/gateway/execute.go
@@ -110,7 +110,7 @@
 	defer g.mu.Unlock()
 	g.budget.Request(now)
 	if ok && s.Engine == nil {
-		g.fleet.Arrived(x.service, now)
+		g.fleet.RecordArrival(x.service, now)
 	}
 }
 
@@ -131,7 +131,7 @@
 
 // result is how an attempt ended.
 type result struct {
-	point   retry.Break
+	point   retry.Stage
 	outcome dispatch.Outcome
 	err     *failure.Error
 	first   time.Duration // time to the first byte
@@ -163,7 +163,7 @@
 			fallback = res.keep
 		}
 		d := retry.Decide(retry.Attempt{
-			Break: res.point, Idempotent: x.route.Idempotent(),
+			Stage: res.point, Idempotent: x.route.Idempotent(),
 			Relayed: x.headSent, Resumable: x.route.Resumable,
 		}, g.more(ctx, x, res))
 		switch {
@@ -261,7 +261,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.budget.Repeat(g.o.Clock.Now()) {
+	if !g.budget.Retry(g.o.Clock.Now()) {
 		g.o.Metrics.Add("retry_budget_spent", 1)
 		return false
 	}
@@ -273,7 +273,7 @@
 	j := &dispatch.Job{
 		Service: x.service, Permits: x.permits, Remaining: x.deadline.Sub(now), Tried: x.tried,
 		Target: time.Duration(x.route.LatencyTargetMS) * time.Millisecond, Forwarded: x.r.Origin != "",
-		Ends: x.judgement.Ends,
+		ServerCrashes: x.judgement.ServerCrashes,
 	}
 	s, ok := x.record.RoutedService(x.service)
 	if !ok {
@@ -282,8 +282,8 @@
 	j.ColdPerSecond = s.ColdPerSecond
 	if p := x.r.Prompt; p != nil && s.Engine != nil {
 		j.Engine, j.MemoryTokens = true, float64(s.Engine.MemoryTokens)
-		j.CopyPerMS = s.Engine.CopyRate()
-		j.Parts, j.Prompt, j.Output = p.Parts, float64(p.Tokens), float64(p.expectedOutput())
+		j.CopyTokensPerMS = s.Engine.CopyRate()
+		j.Parts, j.PromptTokens, j.OutputTokens = p.Parts, float64(p.Tokens), float64(p.expectedOutput())
 	}
 	return j
 }
@@ -300,7 +300,7 @@
 // for which no server is in reach waits for one.
 func (g *Gateway) choose(ctx context.Context, x *execution) (*dispatch.Choice, *failure.Error) {
 	c := g.place(x)
-	if c.OutOfReach {
+	if c.NoUsableServer {
 		c = g.awaitPlace(ctx, x, c)
 	}
 	if c.Refused == "" {
@@ -319,7 +319,7 @@
 	if c.Refused == "" {
 		g.fleet.Started(&c, now)
 	}
-	if !c.OutOfReach || !g.startup.AwaitsServers(now) {
+	if !c.NoUsableServer || !g.startup.AwaitsServers(now) {
 		g.logChoice(x, &c, now)
 	}
 	return &c
@@ -336,7 +336,7 @@
 	}
 	t := time.NewTimer(wait)
 	defer t.Stop()
-	for over := false; c.OutOfReach && !over; c = g.place(x) {
+	for over := false; c.NoUsableServer && !over; c = g.place(x) {
 		g.mu.Lock()
 		viewed := g.viewed
 		g.mu.Unlock()
@@ -376,7 +376,7 @@
 		x.ran++
 	}
 	g.noteSurvival(ctx, x, c, res)
-	if ctx.Err() != nil && res.outcome == dispatch.Broke {
+	if ctx.Err() != nil && res.outcome == dispatch.ConnectionFailed {
 		res.outcome = dispatch.CallerEnded
 	}
 	now := g.o.Clock.Now()
--- a/internal/app/gateway/fetch.go
+++ b/internal/app/gateway/fetch.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	g.mu.Lock()
-	addr := g.fleet.PeerOf(req.From)
+	addr := g.fleet.PeerAddress(req.From)
 	g.mu.Unlock()
 	if addr == "" {
 		return false
--- a/internal/app/gateway/forward.go
+++ b/internal/app/gateway/forward.go
@@ -29,7 +29,7 @@
 		if sent {
 			point = retry.Sent
 		}
-		return result{point: point, outcome: dispatch.Broke, err: failure.As(err, failure.Unknown)}
+		return result{point: point, outcome: dispatch.ConnectionFailed, err: failure.As(err, failure.Unknown)}
 	}
 	defer func() { _ = stream.Close() }()
 	res := result{}
@@ -61,7 +61,7 @@
 	for {
 		frame, err := stream.Recv()
 		if err != nil {
-			res.point, res.outcome = retry.Sent, dispatch.Broke
+			res.point, res.outcome = retry.Sent, dispatch.ConnectionFailed
 			res.err = failure.New(failure.PeerUnreachable, failure.Unknown, "the link to %s broke off: %s", c.Host.ID, err)
 			return
 		}
--- a/internal/app/gateway/fuzz_test.go
+++ b/internal/app/gateway/fuzz_test.go
@@ -59,7 +59,7 @@
 				return
 			}
 			if src.take(v) {
-				fx.g.takeView(v, dispatch.Scope{Loads: true, Others: src.others(serverload.Loads{1: {Requests: 1}}), Fleet: true})
+				fx.g.takeView(v, dispatch.ViewScope{Loads: true, Others: src.others(serverload.Loads{1: {Requests: 1}}), Fleet: true})
 			}
 			fx.g.place(&execution{r: fx.request("/order/1"), record: fx.g.config.Load().Record, route: &fx.g.config.Load().Record.Routes[0], service: "llm", tried: map[string]bool{}, deadline: fx.clock.Now()})
 		}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -30,7 +30,7 @@
 	// Regions maps each failure domain to its region.
 	Regions map[string]string
 	// Retries is the fleet's retry budget.
-	Retries retry.SharedOptions
+	Retries retry.SharedBudgetOptions
 	// AnnounceEvery is the interval of the backend servers' announcements.
 	AnnounceEvery time.Duration
 	VerifyKey     []byte
@@ -66,7 +66,7 @@
 
 	mu      sync.Mutex
 	fleet   *dispatch.Fleet
-	budget  *retry.Shared
+	budget  *retry.SharedBudget
 	startup *dispatch.Startup
 	known   chan struct{} // closed when a configuration is in force and servers are known
 	viewed  chan struct{} // closed and replaced with each view
@@ -89,7 +89,7 @@
 			Host: o.Host, Region: o.Region, FailureDomain: o.FailureDomain, Random: o.Random,
 			AnnounceEvery: o.AnnounceEvery, Off: o.Off,
 		}),
-		budget:  retry.NewShared(o.Retries, o.Clock.Now()),
+		budget:  retry.NewSharedBudget(o.Retries, o.Clock.Now()),
 		startup: dispatch.NewStartup(o.Clock.Now(), o.AnnounceEvery, o.Off),
 		known:   make(chan struct{}),
 		viewed:  make(chan struct{}),
@@ -224,7 +224,7 @@
 	if have := req.GetConfigFetch(); have != nil {
 		resp := &pb.Response{From: g.o.Host, Stamp: g.stamp()}
 		if c := g.config.Load(); c != nil {
-			if blob := configstate.Reply(c.Blob, have.HaveGeneration, have.HaveVersion, nil); blob != nil {
+			if blob := configstate.UpdateFor(c.Blob, have.HaveGeneration, have.HaveVersion, nil); blob != nil {
 				resp.Body = &pb.Response_Config{Config: blob}
 			}
 		}
--- a/internal/app/gateway/gateway_test.go
+++ b/internal/app/gateway/gateway_test.go
@@ -200,7 +200,7 @@
 	t.Helper()
 	f := &fixture{t: t, clock: &fakeClock{now: time.Unix(1000, 0)}, backends: &fakeBackends{}, peers: &peers{}}
 	f.g = New(Options{
-		Host: "host-w", Region: "west", FailureDomain: "w1", Regions: testRegions, Retries: retry.SharedOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
+		Host: "host-w", Region: "west", FailureDomain: "w1", Regions: testRegions, Retries: retry.SharedBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
 		VerifyKey: signer.Public().(ed25519.PublicKey), Peers: f.peers, Backends: f.backends,
 		Clock: f.clock, Random: func() float64 { return 0.5 }, Log: logr.Discard(), Metrics: noMetrics{},
 	})
@@ -233,7 +233,7 @@
 	if edit != nil {
 		edit(v)
 	}
-	f.g.takeView(v, dispatch.Everything)
+	f.g.takeView(v, dispatch.FullScope)
 }
 
 func (f *fixture) request(path string) *Request {
--- a/internal/app/gateway/links_test.go
+++ b/internal/app/gateway/links_test.go
@@ -87,7 +87,7 @@
 	control.staleness = time.Minute
 	control.mu.Unlock()
 	// Until what was up to date is too old as well, the one that fell behind is avoided.
-	outOfDate := f.clock.Now().Add(controlhosts.MaxStaleness + controlhosts.Avoid)
+	outOfDate := f.clock.Now().Add(controlhosts.MaxStaleness + controlhosts.AvoidDuration)
 	f.await("none is up to date any more", func() bool { return f.clock.Now().After(outOfDate) })
 	control.mu.Lock()
 	clear(control.asked)
@@ -116,12 +116,12 @@
 	if got := f.g.lookAgainIn(); got != syncPause {
 		t.Errorf("nothing heard yet: looks again in %s", got)
 	}
-	f.g.control.heard.Note("c", controlhosts.SameDomain, 0, f.clock.Now())
+	f.g.control.heard.RecordAnswer("c", controlhosts.SameDomain, 0, f.clock.Now())
 	if got := f.g.lookAgainIn(); got != calmPause {
 		t.Errorf("just heard: looks again in %s", got)
 	}
 	f.clock.advance(calmPause)
-	if got := f.g.lookAgainIn(); got != syncPause || calmPause >= controlhosts.Lost {
+	if got := f.g.lookAgainIn(); got != syncPause || calmPause >= controlhosts.ContactTimeout {
 		t.Errorf("not heard for %s: looks again in %s", calmPause, got)
 	}
 }
--- a/internal/app/gateway/log.go
+++ b/internal/app/gateway/log.go
@@ -20,8 +20,8 @@
 		"request_id", x.r.ID, "route", x.route.Name, "team", x.teamName(), "service", x.service, "attempt", x.sends + 1,
 		"config_version", x.version, "config_staleness_ms", g.ConfigStaleness().Milliseconds(), "remaining_ms", x.deadline.Sub(now).Milliseconds(), "view_age_ms", g.fleet.ViewAge(now).Milliseconds(),
 	}
-	if t := c.Turn; t != nil {
-		kv = append(kv, "turn", t.Region, "asked_per_s", int(t.Asked), "can_run_per_s", int(t.CanRun), "waiting", int(t.Waiting))
+	if t := c.RegionDraw; t != nil {
+		kv = append(kv, "turn", t.Region, "asked_per_s", int(t.ArrivalsPerSecond), "can_run_per_s", int(t.CapacityPerSecond), "waiting", int(t.Waiting))
 	}
 	switch {
 	case c.Refused != "":
@@ -29,7 +29,7 @@
 	case c.Server != nil:
 		requests, prompt, memory := c.Server.Load()
 		kv = append(kv, "server_requests", requests, "server_prompt_tokens", int(prompt), "server_memory_tokens", int(memory))
-		kv = append(kv, "outcome", "server", "server", c.Server.ID, "address", c.Server.Address, "estimate_ms", int(c.EstimateMS), "uncovered_tokens", int(c.Uncovered))
+		kv = append(kv, "outcome", "server", "server", c.Server.ID, "address", c.Server.Address, "estimate_ms", int(c.EstimateMS), "uncovered_tokens", int(c.UncoveredTokens))
 		if c.Deferred {
 			kv = append(kv, "deferred", true)
 		}
@@ -49,7 +49,7 @@
 	Reason   string `json:"reason,omitempty"`
 }
 
-func summary(list []dispatch.Considered) []considered {
+func summary(list []dispatch.Candidate) []considered {
 	var out []considered
 	for _, c := range list[:min(len(list), consideredLogged)] {
 		out = append(out, considered{c.Name, int(math.Min(c.EstimateMS, math.MaxInt32)), c.Reason})
--- a/internal/app/gateway/regions.go
+++ b/internal/app/gateway/regions.go
@@ -29,7 +29,7 @@
 		case <-t.C:
 		}
 		g.mu.Lock()
-		hosts := g.fleet.RegionsToAsk(g.o.Clock.Now())
+		hosts := g.fleet.HostsToQuery(g.o.Clock.Now())
 		g.mu.Unlock()
 		for _, h := range hosts {
 			go g.askRegion(ctx, h)
@@ -62,7 +62,7 @@
 	g.o.Metrics.Add("regions_asked", 1)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.TakeRegion(h, loads, began.Add(now.Sub(began)/2), now)
+	g.fleet.ApplyRegionLoads(h, loads, began.Add(now.Sub(began)/2), now)
 }
 
 // regionLoads answers an entry host of another region.
--- a/internal/app/gateway/server.go
+++ b/internal/app/gateway/server.go
@@ -37,7 +37,7 @@
 		if sent {
 			point = retry.Sent
 		}
-		return result{point: point, outcome: dispatch.Broke, err: failure.New(failure.BackendLost, failure.Unknown, "%s", err)}
+		return result{point: point, outcome: dispatch.ConnectionFailed, err: failure.New(failure.BackendLost, failure.Unknown, "%s", err)}
 	}
 	defer func() { _ = answer.Body.Close() }()
 	g.noteCold(c.Server, answer.Cold)
@@ -80,7 +80,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.Observed(c, requests, g.o.Clock.Now())
+	g.fleet.RecordReportedRequests(c, requests, g.o.Clock.Now())
 }
 
 func (g *Gateway) markGone(s *dispatch.Server) {
@@ -98,7 +98,7 @@
 		err = failure.New(failure.Truncated, failure.Unknown, "the answer is over %d bytes", maxAnswer)
 	}
 	if err != nil {
-		res.point, res.outcome = retry.MidAnswer, dispatch.Broke
+		res.point, res.outcome = retry.MidAnswer, dispatch.ConnectionFailed
 		res.err = failure.New(failure.BackendLost, failure.Unknown, "the answer broke off: %s", err)
 		return
 	}
@@ -140,7 +140,7 @@
 			return
 		}
 		if err != nil {
-			res.point, res.outcome = retry.MidAnswer, dispatch.Broke
+			res.point, res.outcome = retry.MidAnswer, dispatch.ConnectionFailed
 			res.err = failure.New(failure.BackendLost, failure.Unknown, "the stream broke off after event %d: %s", x.last, err)
 			return
 		}
@@ -148,7 +148,7 @@
 		if f := x.passEvent(a.Head, event); f != nil {
 			res.point, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
 			if f.Code == failure.BackendLost {
-				res.outcome = dispatch.Broke
+				res.outcome = dispatch.ConnectionFailed
 			}
 			return
 		}
--- a/internal/app/gateway/source.go
+++ b/internal/app/gateway/source.go
@@ -42,7 +42,7 @@
 	if !v.LoadChanges || s.loads == nil {
 		s.loads = serverload.Loads{}
 	}
-	s.loads.Take(serverload.Decode(v.Loads))
+	s.loads.Apply(serverload.Decode(v.Loads))
 	return true
 }
 
--- a/internal/app/gateway/startup_test.go
+++ b/internal/app/gateway/startup_test.go
@@ -48,7 +48,7 @@
 // know none itself; those of other regions only when none of its own answers.
 func TestStartHearsTheRegionsControlHosts(t *testing.T) {
 	f := newStartingFixture(t)
-	f.g.control.heard.Note("c", controlhosts.SameDomain, 0, f.clock.Now())
+	f.g.control.heard.RecordAnswer("c", controlhosts.SameDomain, 0, f.clock.Now())
 	if f.g.asks(controlhosts.SameRegion) {
 		t.Error("others are asked before the nearest control host had time to answer")
 	}
@@ -106,5 +106,5 @@
 	configured, age := g.config.Load() != nil, g.startup.Age(now)
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
-	return g.control.heard.Asks(d, configured, age, now)
+	return g.control.heard.ShouldQuery(d, configured, age, now)
 }
--- a/internal/app/gateway/sync.go
+++ b/internal/app/gateway/sync.go
@@ -89,7 +89,7 @@
 			}
 			continue
 		}
-		if p := controlhosts.Pause(primary, staleness(view)); p > 0 {
+		if p := controlhosts.QueryPause(primary, staleness(view)); p > 0 {
 			pause(ctx, p)
 		}
 	}
@@ -101,9 +101,9 @@
 // crashRecords returns what a control host is to be told of crashing requests: all of it at
 // first, as it may have restarted, then what this host saw itself.
 func (g *Gateway) crashRecords(c *controlHost) (records []*pb.QuarantineRecord, next uint64) {
-	wanted := quarantine.Own
+	wanted := quarantine.LocalChanges
 	if !c.toldAll {
-		wanted = quarantine.All
+		wanted = quarantine.AllRecords
 	}
 	return g.o.Crashes.Since(c.told, maxRecords, wanted)
 }
@@ -119,7 +119,7 @@
 }
 
 func (g *Gateway) takesFrom(v *pb.FleetView) bool {
-	return controlhosts.Takes(staleness(v), g.config.Load() != nil, g.startup.Age(g.o.Clock.Now()))
+	return controlhosts.AcceptsConfig(staleness(v), g.config.Load() != nil, g.startup.Age(g.o.Clock.Now()))
 }
 
 func staleness(v *pb.FleetView) time.Duration { return milliseconds(v.StalenessMs) }
@@ -194,8 +194,8 @@
 
 // scope returns which parts of a control host's view count, and completes it by what this
 // host has of the ones before.
-func (g *Gateway) scope(c *controlHost, view *pb.FleetView, primary bool, own serverload.Loads) dispatch.Scope {
-	scope := dispatch.Scope{Loads: primary, Fleet: g.noteHeard(c, view)}
+func (g *Gateway) scope(c *controlHost, view *pb.FleetView, primary bool, own serverload.Loads) dispatch.ViewScope {
+	scope := dispatch.ViewScope{Loads: primary, Fleet: g.noteHeard(c, view)}
 	if primary {
 		scope.Others = c.have.others(own)
 	}
@@ -224,19 +224,19 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	own := g.fleet.Loads(g.o.Clock.Now())
-	m.Loads, m.Prompts = serverload.Encode(own), holders.Encode(g.fleet.TakeSent())
+	m.Loads, m.Prompts = serverload.Encode(own), holders.Encode(g.fleet.TakeUnreportedPlaces())
 	return m, own
 }
 
-func (g *Gateway) takeView(v *pb.FleetView, scope dispatch.Scope) {
+func (g *Gateway) takeView(v *pb.FleetView, scope dispatch.ViewScope) {
 	if scope.Fleet {
 		g.control.take(v.ControlHosts)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.TakeView(v, scope, g.o.Clock.Now())
+	g.fleet.ApplyView(v, scope, g.o.Clock.Now())
 	close(g.viewed)
 	g.viewed = make(chan struct{})
-	g.budget.SetHosts(g.fleet.AllHosts())
+	g.budget.SetHosts(g.fleet.HostCount())
 	g.tellWatch()
 }
--- a/internal/app/gateway/teams_test.go
+++ b/internal/app/gateway/teams_test.go
@@ -178,14 +178,14 @@
 	f := newFixture(t)
 	rec := keyed(nil)
 	f.install(8, rec)
-	issuer := quota.NewIssuer(quota.IssuerOptions{Bound: quota.Bound{Window: 2 * time.Second}, Fresh: true}, f.clock.Now())
+	issuer := quota.NewIssuer(quota.IssuerOptions{Bound: quota.Bound{Window: 2 * time.Second}, FirstStart: true}, f.clock.Now())
 	issuer.SetShare(1, true, f.clock.Now())
 	issuer.SetTeams(rec.Teams, f.clock.Now())
-	issuer.Stored(issuer.ToStore(f.clock.Now()))
+	issuer.ConfirmStored(issuer.StateToStore(f.clock.Now()))
 	f.peers.response = func(req *pb.Request) *pb.Response {
 		if ask := req.GetQuotaAsk(); ask != nil {
 			grant := issuer.Answer(req.From, ask, f.clock.Now())
-			issuer.Stored(issuer.ToStore(f.clock.Now()))
+			issuer.ConfirmStored(issuer.StateToStore(f.clock.Now()))
 			return &pb.Response{Body: &pb.Response_QuotaGrant{QuotaGrant: grant}}
 		}
 		return &pb.Response{}
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -275,5 +275,5 @@
 	return d.perSecond * math.Exp2(-now.Sub(d.last).Seconds()/rateHalfLife.Seconds())
 }
 
-// Passed records a request that was served without waiting, for the drain rate.
-func (q *Queue) Passed(target string, now time.Time) { q.recordDrain(target, now) }
+// RecordImmediate records a request that was served without waiting, for the drain rate.
+func (q *Queue) RecordImmediate(target string, now time.Time) { q.recordDrain(target, now) }
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -99,7 +99,7 @@
 	now := start
 	for range 100 { // 10 requests per second are taken
 		now = now.Add(100 * time.Millisecond)
-		q.Passed("m", now)
+		q.RecordImmediate("m", now)
 	}
 	for range 50 {
 		if err := q.Offer(&Waiter{Team: "t", Weight: 1, Cost: 1, Target: "m", Deadline: now.Add(time.Hour)}, now, half); err != nil {
--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -34,7 +34,7 @@
 // Server is one backend server.
 type Server struct {
 	State         *pb.BackendState
-	HeardAt       time.Time // when an entry host received the announcement, on this host's clock
+	LastSeen      time.Time // when an entry host received the announcement, on this host's clock
 	FirstSeen     time.Time // start of this incarnation's slow start
 	Inflight      int       // this host's attempts in flight
 	failures      int
@@ -64,8 +64,8 @@
 	}
 }
 
-// SetSharers sets how many entry hosts send to these servers, this one included.
-func (t *Table) SetSharers(n int) { t.senders = float64(max(n, 1)) }
+// SetSenders sets how many entry hosts send to these servers, this one included.
+func (t *Table) SetSenders(n int) { t.senders = float64(max(n, 1)) }
 
 // Merge records an announcement, received from the server or forwarded by another entry host. It
 // reports whether the announcement replaced the held state: only a higher incarnation, or a
@@ -86,10 +86,10 @@
 		t.servers[st.Id] = s
 	case st.Incarnation > s.State.Incarnation:
 		*s = Server{FirstSeen: now, Inflight: s.Inflight, cache: newCache(), meanServiceMS: s.meanServiceMS}
-	case now.Sub(s.HeardAt) > t.limits.Lease:
+	case now.Sub(s.LastSeen) > t.limits.Lease:
 		s.FirstSeen = now // the lease had lapsed: its cache may be cold
 	}
-	s.State, s.HeardAt = st, receivedAt
+	s.State, s.LastSeen = st, receivedAt
 	t.lag.observe(s, t.senders)
 	s.cache.addAll(st.Prefixes)
 	return true
@@ -109,7 +109,7 @@
 // Expire deletes servers without attempts in flight whose lease lapsed long ago.
 func (t *Table) Expire(now time.Time) {
 	for id, s := range t.servers {
-		if s.Inflight == 0 && now.Sub(s.HeardAt) > retentionLeases*t.limits.Lease {
+		if s.Inflight == 0 && now.Sub(s.LastSeen) > retentionLeases*t.limits.Lease {
 			delete(t.servers, id)
 		}
 	}
@@ -150,7 +150,7 @@
 	switch {
 	case s.State.Leaving:
 		return SkipLeaving
-	case now.Sub(s.HeardAt) > t.limits.Lease:
+	case now.Sub(s.LastSeen) > t.limits.Lease:
 		return SkipLapsed
 	case now.Before(s.retryAt) || (s.failures > 0 && s.probing):
 		return SkipBreaker
--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -127,7 +127,7 @@
 func TestLagEstimate(t *testing.T) {
 	for _, lag := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		tab := table()
-		tab.SetSharers(2)
+		tab.SetSenders(2)
 		rnd := rand.New(rand.NewSource(1))
 		tab.Merge(announcement(1, 1), start)
 		s := tab.Get("s")
--- a/internal/core/backend/load.go
+++ b/internal/core/backend/load.go
@@ -99,13 +99,13 @@
 // report was taken.
 func (t *Table) correctedLoad(s *Server) float64 {
 	reported := float64(s.State.Running + s.State.Queued)
-	reportedAt := s.HeardAt.Add(-t.lag.value())
+	reportedAt := s.LastSeen.Add(-t.lag.value())
 	return math.Max(0, reported+float64(s.Inflight-s.history.at(reportedAt)))
 }
 
 // reportWeight is the weight of a server's own report in the estimate (0 to 1).
 func (t *Table) reportWeight(s *Server, now time.Time) float64 {
-	age := now.Sub(s.HeardAt) + t.lag.value()
+	age := now.Sub(s.LastSeen) + t.lag.value()
 	turnover := time.Duration(s.ServiceMS() * float64(time.Millisecond))
 	return math.Exp(-float64(age) / float64(max(turnover, minTurnover)))
 }
@@ -184,7 +184,7 @@
 	}
 	l.samples++
 	for i, lag := range lagCandidates {
-		residual := reported - senders*float64(s.history.at(s.HeardAt.Add(-lag)))
+		residual := reported - senders*float64(s.history.at(s.LastSeen.Add(-lag)))
 		l.squaredErrors[i] = lagErrorDecay*l.squaredErrors[i] + residual*residual
 	}
 }
--- a/internal/core/configstate/bench_test.go
+++ b/internal/core/configstate/bench_test.go
@@ -72,7 +72,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			next := Reply(blob(2, two), 1, 1, one)
+			next := UpdateFor(blob(2, two), 1, 1, one)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := Install(current, next, benchSigningKey.Public().(ed25519.PublicKey)); err != nil {
--- a/internal/core/configstate/compress.go
+++ b/internal/core/configstate/compress.go
@@ -31,9 +31,9 @@
 	return out.Bytes(), nil
 }
 
-// Inflate returns the bytes that were passed to Compress. Uncompressed bytes are returned as they
+// Decompress returns the bytes that were passed to Compress. Uncompressed bytes are returned as they
 // are.
-func Inflate(raw []byte) ([]byte, error) {
+func Decompress(raw []byte) ([]byte, error) {
 	if !bytes.HasPrefix(raw, gzipMagic) {
 		return raw, nil
 	}
--- a/internal/core/configstate/evidence.go
+++ b/internal/core/configstate/evidence.go
@@ -78,10 +78,10 @@
 	return &Installed{Stamp: blob.Stamp, Raw: raw, Record: record, Blob: whole}, nil
 }
 
-// Reply returns the configuration to send to a host that has the given generation and
+// UpdateFor returns the configuration to send to a host that has the given generation and
 // version: a delta when base, that version's record, is available and of the same
 // generation, else the complete record. It returns nil when blob is not newer.
-func Reply(blob *pb.ConfigBlob, generation, version uint64, base []byte) *pb.ConfigBlob {
+func UpdateFor(blob *pb.ConfigBlob, generation, version uint64, base []byte) *pb.ConfigBlob {
 	if blob == nil || !Newer(blob.Stamp, &pb.ConfigStamp{Generation: generation, Version: version}) {
 		return nil
 	}
--- a/internal/core/configstate/quarantine.go
+++ b/internal/core/configstate/quarantine.go
@@ -19,14 +19,14 @@
 	return out
 }
 
-// MustKeep reports whether a record must replace the kept one of its fingerprint, nil for none. It
+// MustReplaceKept reports whether a record must replace the kept one of its fingerprint, nil for none. It
 // must if it is a first verdict, was cleared more often, or has a different crash count and at least
 // as many server processes.
-func MustKeep(r, kept *pb.QuarantineRecord) bool {
+func MustReplaceKept(r, kept *pb.QuarantineRecord) bool {
 	crashes := crashCount(r)
 	switch {
 	case kept == nil:
-		return crashes >= quarantine.Crashes
+		return crashes >= quarantine.CrashThreshold
 	case r.Cleared != kept.Cleared:
 		return r.Cleared > kept.Cleared
 	}
@@ -54,7 +54,7 @@
 		kept = m.log.Quarantined[at].Record
 	}
 	// An operator may also clear a suspicion, for which no record is kept.
-	if !MustKeep(r, kept) && !(lift && kept == nil) {
+	if !MustReplaceKept(r, kept) && !(lift && kept == nil) {
 		return unchanged
 	}
 	next := slices.Clone(m.log.Quarantined)
--- a/internal/core/configstate/record.go
+++ b/internal/core/configstate/record.go
@@ -199,7 +199,7 @@
 // Parse decodes and validates the bytes of a record, compressed or not. Unknown fields are
 // ignored; they are preserved because hosts store and forward the bytes unchanged.
 func Parse(raw []byte) (*Record, error) {
-	raw, err := Inflate(raw)
+	raw, err := Decompress(raw)
 	if err != nil {
 		return nil, FieldErrors{{"record", err.Error()}}
 	}
--- a/internal/core/controlhosts/choice.go
+++ b/internal/core/controlhosts/choice.go
@@ -12,17 +12,17 @@
 type Candidate struct {
 	Address string
 	Domain  string // failure domain; "" if unknown
-	// Named reports whether the control hosts list it as one that they receive messages from.
-	Named bool
+	// ReportedLive reports whether the control hosts list it as one that they receive messages from.
+	ReportedLive bool
 	// AvoidUntil is the time until which other candidates of its failure domain are
 	// preferred; see Avoid.
 	AvoidUntil time.Time
 }
 
-// Avoid is how long the other control hosts of a failure domain are preferred to one that
+// AvoidDuration is how long the other control hosts of a failure domain are preferred to one that
 // did not answer or is out of date. It is long enough for them to stop listing that one as
 // live if it is lost.
-const Avoid = 2 * time.Second
+const AvoidDuration = 2 * time.Second
 
 // Choose returns the candidates with which an entry host synchronizes, sorted by address: one
 // of each failure domain, and all whose failure domain is unknown. The choice within a failure
@@ -54,8 +54,8 @@
 	if x, y := now.Before(a.AvoidUntil), now.Before(b.AvoidUntil); x != y {
 		return y
 	}
-	if a.Named != b.Named {
-		return a.Named
+	if a.ReportedLive != b.ReportedLive {
+		return a.ReportedLive
 	}
 	x, y := rendezvous.Weight(host, a.Address), rendezvous.Weight(host, b.Address)
 	return x > y || (x == y && a.Address < b.Address)
--- a/internal/core/controlhosts/choice_test.go
+++ b/internal/core/controlhosts/choice_test.go
@@ -12,7 +12,7 @@
 func liveCandidates(domain string, n int) []Candidate {
 	var out []Candidate
 	for i := range n {
-		out = append(out, Candidate{Address: fmt.Sprintf("%s.%d", domain, i), Domain: domain, Named: true})
+		out = append(out, Candidate{Address: fmt.Sprintf("%s.%d", domain, i), Domain: domain, ReportedLive: true})
 	}
 	return out
 }
@@ -68,11 +68,11 @@
 			}
 		}), true},
 		{"all are avoided", edit(func(c *Candidate) { c.AvoidUntil = avoided }), true},
-		{"the chosen one is no longer named", edit(func(c *Candidate) { c.Named = c.Address != first }), false},
-		{"none is named", edit(func(c *Candidate) { c.Named = false }), true},
+		{"the chosen one is no longer named", edit(func(c *Candidate) { c.ReportedLive = c.Address != first }), false},
+		{"none is named", edit(func(c *Candidate) { c.ReportedLive = false }), true},
 		{"all others are avoided and not named", edit(func(c *Candidate) {
 			if c.Address != first {
-				c.Named, c.AvoidUntil = false, avoided
+				c.ReportedLive, c.AvoidUntil = false, avoided
 			}
 		}), true},
 	}
--- a/internal/core/controlhosts/controlhosts.go
+++ b/internal/core/controlhosts/controlhosts.go
@@ -29,9 +29,9 @@
 	// leave too little time to query a farther control host before the deadline by which an
 	// accepted change must be in force.
 	MaxStaleness = 2 * time.Second
-	// Lost is how long control hosts may leave requests unanswered before farther ones are
+	// ContactTimeout is how long control hosts may leave requests unanswered before farther ones are
 	// queried. It allows for six sync requests, or for reopening a connection.
-	Lost = 1500 * time.Millisecond
+	ContactTimeout = 1500 * time.Millisecond
 	// regionQueryDelay is how long a starting entry host waits for a configuration from its
 	// own failure domain before it also queries other control hosts of its region. Without
 	// the delay, a simultaneous start of all hosts would double the number of control hosts
@@ -48,9 +48,9 @@
 	staleRetryInterval = 600 * time.Millisecond
 )
 
-// Heard records the answers that an entry host has received from the control hosts at each
+// Contacts records the answers that an entry host has received from the control hosts at each
 // distance. The zero value holds no answers. It is not safe for concurrent use.
-type Heard struct {
+type Contacts struct {
 	lastAnswer  [distances]time.Time // last answer
 	currentAsOf [distances]time.Time // latest time as of which one of them was up to date
 	// primary receives the entry host's load report; see Primary.
@@ -61,9 +61,9 @@
 	}
 }
 
-// Note records an answer from the control host at an address, whose state is out of date by
+// RecordAnswer records an answer from the control host at an address, whose state is out of date by
 // the given staleness at most.
-func (h *Heard) Note(address string, d Distance, staleness time.Duration, now time.Time) {
+func (h *Contacts) RecordAnswer(address string, d Distance, staleness time.Duration, now time.Time) {
 	h.lastAnswer[d] = now
 	if address == h.primary.address {
 		h.primary.at = now
@@ -73,13 +73,13 @@
 	}
 }
 
-// Asks reports whether control hosts at a distance are to be queried now. Those of the same
+// ShouldQuery reports whether control hosts at a distance are to be queried now. Those of the same
 // failure domain always are: during a network partition of the failure domain, only they
 // receive its backend servers' announcements. configured reports whether the entry host has
 // a configuration, and age is the time since it started. Without a configuration, the control
 // hosts of its region are queried too after regionQueryDelay, because the one of its failure
 // domain may have lost its disk.
-func (h *Heard) Asks(d Distance, configured bool, age time.Duration, now time.Time) bool {
+func (h *Contacts) ShouldQuery(d Distance, configured bool, age time.Duration, now time.Time) bool {
 	if d == SameRegion && !configured && age > regionQueryDelay {
 		return true
 	}
@@ -91,26 +91,26 @@
 	return true
 }
 
-// Calm reports whether control hosts of the same failure domain have answered within Lost/2
+// Stable reports whether control hosts of the same failure domain have answered within Lost/2
 // and been up to date within MaxStaleness/2, so that farther ones need not be queried soon.
-func (h *Heard) Calm(now time.Time) bool {
-	return now.Sub(h.lastAnswer[SameDomain]) < Lost/2 && now.Sub(h.currentAsOf[SameDomain]) <= MaxStaleness/2
+func (h *Contacts) Stable(now time.Time) bool {
+	return now.Sub(h.lastAnswer[SameDomain]) < ContactTimeout/2 && now.Sub(h.currentAsOf[SameDomain]) <= MaxStaleness/2
 }
 
-// Primary reports whether a control host is the entry host's primary. It makes it the primary
+// ClaimPrimary reports whether a control host is the entry host's primary. It makes it the primary
 // if no nearer control host answers and the present primary is at another distance or has not
 // answered within Lost. The primary alone receives the entry host's report of requests in
 // flight and forwards it to the other control hosts, which would count a report sent to two
 // control hosts twice. It is one of the nearest control hosts that answer, up to date or not,
 // and stays primary while it answers and no nearer one does.
-func (h *Heard) Primary(address string, d Distance, now time.Time) bool {
+func (h *Contacts) ClaimPrimary(address string, d Distance, now time.Time) bool {
 	for near := range d {
 		if h.inContact(near, now) {
 			return false
 		}
 	}
 	p := &h.primary
-	if p.address != address && p.distance == d && now.Sub(p.at) < Lost {
+	if p.address != address && p.distance == d && now.Sub(p.at) < ContactTimeout {
 		return false
 	}
 	if p.address != address {
@@ -120,10 +120,10 @@
 	return true
 }
 
-// KnowsFleet reports whether the entry host uses a control host's view of entry hosts and other
+// UsesFleetView reports whether the entry host uses a control host's view of entry hosts and other
 // regions, given the staleness of its state. A control host that is out of date may be
 // partitioned from the others, so its view is used only while none is up to date.
-func (h *Heard) KnowsFleet(staleness time.Duration, now time.Time) bool {
+func (h *Contacts) UsesFleetView(staleness time.Duration, now time.Time) bool {
 	if staleness <= MaxStaleness {
 		return true
 	}
@@ -136,26 +136,28 @@
 }
 
 // inContact reports whether a control host at a distance answered within Lost.
-func (h *Heard) inContact(d Distance, now time.Time) bool { return now.Sub(h.lastAnswer[d]) < Lost }
+func (h *Contacts) inContact(d Distance, now time.Time) bool {
+	return now.Sub(h.lastAnswer[d]) < ContactTimeout
+}
 
 // upToDate reports whether a control host at a distance was up to date within MaxStaleness.
-func (h *Heard) upToDate(d Distance, now time.Time) bool {
+func (h *Contacts) upToDate(d Distance, now time.Time) bool {
 	return now.Sub(h.currentAsOf[d]) <= MaxStaleness
 }
 
-// Takes reports whether an entry host accepts the configuration of a control host, given the
+// AcceptsConfig reports whether an entry host accepts the configuration of a control host, given the
 // staleness of the control host's state. An entry host that has a configuration accepts any,
 // because it never replaces its configuration by an older one. An entry host without one first
 // waits for a control host that is up to date, because it may have served with a newer
 // configuration before its restart. After staleConfigWait it accepts any configuration.
-func Takes(staleness time.Duration, configured bool, age time.Duration) bool {
+func AcceptsConfig(staleness time.Duration, configured bool, age time.Duration) bool {
 	return configured || staleness <= MaxStaleness || age > staleConfigWait
 }
 
-// Pause returns how long to wait before the next sync request to a control host that has just
+// QueryPause returns how long to wait before the next sync request to a control host that has just
 // answered. It is mostly 0, because a control host holds its answer until something changes or
 // its maximum hold time is over (long polling).
-func Pause(primary bool, staleness time.Duration) time.Duration {
+func QueryPause(primary bool, staleness time.Duration) time.Duration {
 	if !primary && staleness > MaxStaleness {
 		return staleRetryInterval
 	}
--- a/internal/core/controlhosts/controlhosts_test.go
+++ b/internal/core/controlhosts/controlhosts_test.go
@@ -48,11 +48,11 @@
 			h := contactsAfter(c.answers)
 			now := start.Add(c.now)
 			for d := range distances {
-				if got := h.Asks(d, !c.unconfigured, c.now, now); got != c.asks[d] {
+				if got := h.ShouldQuery(d, !c.unconfigured, c.now, now); got != c.asks[d] {
 					t.Errorf("Asks(distance %d) = %v", d, got)
 				}
 				one := *h
-				if got := one.Primary("c", d, now); got != c.primary[d] {
+				if got := one.ClaimPrimary("c", d, now); got != c.primary[d] {
 					t.Errorf("Primary(distance %d) = %v", d, got)
 				}
 			}
@@ -60,10 +60,10 @@
 	}
 }
 
-func contactsAfter(list []answer) *Heard {
-	h := &Heard{}
+func contactsAfter(list []answer) *Contacts {
+	h := &Contacts{}
 	for _, e := range list {
-		h.Note("c", e.from, e.staleness, time.Unix(1000, 0).Add(e.at))
+		h.RecordAnswer("c", e.from, e.staleness, time.Unix(1000, 0).Add(e.at))
 	}
 	return h
 }
@@ -73,14 +73,14 @@
 func TestKnowsFleet(t *testing.T) {
 	now := time.Unix(1010, 0)
 	alone := contactsAfter([]answer{{10 * time.Second, SameDomain, stale}})
-	if !alone.KnowsFleet(stale, now) {
+	if !alone.UsesFleetView(stale, now) {
 		t.Error("the view of the only reachable control host is not used")
 	}
 	both := contactsAfter([]answer{{10 * time.Second, SameDomain, stale}, {10 * time.Second, OtherRegion, fresh}})
-	if both.KnowsFleet(stale, now) || !both.KnowsFleet(fresh, now) {
+	if both.UsesFleetView(stale, now) || !both.UsesFleetView(fresh, now) {
 		t.Error("want only the view of the control host that is up to date while there is one")
 	}
-	if !both.KnowsFleet(stale, now.Add(3*time.Second)) {
+	if !both.UsesFleetView(stale, now.Add(3*time.Second)) {
 		t.Error("the view of the control host that is out of date is not used 3 s after the last answer of the other")
 	}
 }
@@ -89,15 +89,15 @@
 // primary gets fewer sync requests, but the next one before the entry host's lease expires.
 func TestPauseStaysBelowTheHostsLease(t *testing.T) {
 	const lease, answerDelay = 1500 * time.Millisecond, 250*time.Millisecond + 165*time.Millisecond
-	if p := Pause(false, stale); p <= 0 || p+answerDelay >= lease {
+	if p := QueryPause(false, stale); p <= 0 || p+answerDelay >= lease {
 		t.Errorf("pause of %s for one that is out of date", p)
 	}
 	for _, nearest := range []bool{true, false} {
-		if p := Pause(nearest, fresh); p != 0 {
+		if p := QueryPause(nearest, fresh); p != 0 {
 			t.Errorf("pause of %s for one that is up to date", p)
 		}
 	}
-	if p := Pause(true, stale); p != 0 {
+	if p := QueryPause(true, stale); p != 0 {
 		t.Errorf("pause of %s for the primary", p)
 	}
 }
@@ -106,27 +106,27 @@
 // against load reports to two control hosts, which are then counted twice: to two at one
 // distance, or to a farther one while the nearer one is out of date.
 func TestOnePrimary(t *testing.T) {
-	h, now := &Heard{}, time.Unix(1000, 0)
+	h, now := &Contacts{}, time.Unix(1000, 0)
 	step := func(what string, after time.Duration, address string, d Distance, want bool) {
 		t.Helper()
 		now = now.Add(after)
-		if got := h.Primary(address, d, now); got != want {
+		if got := h.ClaimPrimary(address, d, now); got != want {
 			t.Errorf("%s: Primary(%s) = %v", what, address, got)
 		}
 	}
 	step("no answer yet", 0, "far", OtherRegion, true)
 	step("second control host at the same distance", 0, "far2", OtherRegion, false)
-	h.Note("near", SameRegion, fresh, now)
+	h.RecordAnswer("near", SameRegion, fresh, now)
 	step("a nearer one has answered", 0, "near", SameRegion, true)
 	step("the previous primary", 0, "far", OtherRegion, false)
-	h.Note("near2", SameRegion, fresh, now)
+	h.RecordAnswer("near2", SameRegion, fresh, now)
 	step("second control host at the same distance as the primary", time.Second, "near2", SameRegion, false)
-	h.Note("near2", SameRegion, fresh, now)
+	h.RecordAnswer("near2", SameRegion, fresh, now)
 	step("the primary has not answered for longer than Lost", 600*time.Millisecond, "near2", SameRegion, true)
-	h.Note("near", SameRegion, fresh, now)
+	h.RecordAnswer("near", SameRegion, fresh, now)
 	step("the previous primary answers again", 0, "near", SameRegion, false)
 	step("the new primary stays primary", 0, "near2", SameRegion, true)
-	h.Note("own", SameDomain, stale, now)
+	h.RecordAnswer("own", SameDomain, stale, now)
 	step("same failure domain, out of date", 0, "own", SameDomain, true)
 	step("a farther one is up to date", 0, "near2", SameRegion, false)
 	step("no control host has answered for longer than Lost", 2*time.Second, "far", OtherRegion, true)
--- a/internal/core/dispatch/arrivals.go
+++ b/internal/core/dispatch/arrivals.go
@@ -12,8 +12,8 @@
 // enough for a host with one request every few seconds to report at least one.
 const arrivalsReportWindow = 100 * time.Second
 
-// Arrived records that a caller sent this entry host a request for a plain service.
-func (f *Fleet) Arrived(service string, now time.Time) {
+// RecordArrival records that a caller sent this entry host a request for a plain service.
+func (f *Fleet) RecordArrival(service string, now time.Time) {
 	a := f.arrivals[service]
 	if a == nil {
 		a = &arrivals{}
--- a/internal/core/dispatch/choose.go
+++ b/internal/core/dispatch/choose.go
@@ -15,13 +15,13 @@
 	Engine bool
 	// MemoryTokens is the size of an engine's KV cache, in tokens.
 	MemoryTokens float64
-	// CopyPerMS is the rate at which an engine copies KV cache from another engine, in tokens
+	// CopyTokensPerMS is the rate at which an engine copies KV cache from another engine, in tokens
 	// per ms; 0 if the engines cannot copy.
-	CopyPerMS float64
+	CopyTokensPerMS float64
 	// Parts are the parts of the prompt in order; the last one is specific to the request.
-	Parts  []Part
-	Prompt float64 // length of the prompt, in tokens
-	Output float64 // expected length of the answer, in tokens
+	Parts        []Part
+	PromptTokens float64 // length of the prompt, in tokens
+	OutputTokens float64 // expected length of the answer, in tokens
 	// Permits reports whether servers of a region may run the request.
 	Permits func(region string) bool
 	// Remaining is the time until the caller's deadline.
@@ -33,15 +33,15 @@
 	Tried map[string]bool
 	// Forwarded is set if an entry host of another region forwarded the request.
 	Forwarded bool
-	// Ends is the number of server processes recorded to have exited while running the request.
-	Ends int
+	// ServerCrashes is the number of server processes recorded to have exited while running the request.
+	ServerCrashes int
 	// ColdPerSecond is the rate of requests that a cold server tolerates, per second; 0 for no
 	// limit.
 	ColdPerSecond float64
 }
 
-// Considered is a server or region that was evaluated for a request, for the log.
-type Considered struct {
+// Candidate is a server or region that was evaluated for a request, for the log.
+type Candidate struct {
 	Name       string
 	EstimateMS float64
 	Reason     string // why it was excluded; empty if it was eligible
@@ -49,24 +49,24 @@
 
 // Choice is the decision where a request is sent.
 type Choice struct {
-	Server     *Server // nil if the request goes to another region or is refused
-	Host       *Host   // entry host of another region
-	EstimateMS float64 // expected time to the first byte, in ms
-	Uncovered  float64 // prompt tokens expected not to be cached at the server
+	Server          *Server // nil if the request goes to another region or is refused
+	Host            *Host   // entry host of another region
+	EstimateMS      float64 // expected time to the first byte, in ms
+	UncoveredTokens float64 // prompt tokens expected not to be cached at the server
 	// CopyFrom is the address of the engine from which the server copies the KV cache of shared
 	// parts of the prompt; "" for none.
 	CopyFrom string
-	// Turn is the region drawn for a request for a plain service; nil for requests to engines.
-	Turn *Turn
+	// RegionDraw is the region drawn for a request for a plain service; nil for requests to engines.
+	RegionDraw *RegionDraw
 	// Deferred is set if the first byte is expected after the target at the chosen server. The
 	// server then queues the request behind those that can still meet their target.
 	Deferred   bool
-	Considered []Considered
+	Considered []Candidate
 	// Refused is the reason if the request cannot be sent anywhere, and RetryAfter the time
 	// after which the caller should retry. OutOfReach is set if no server is usable at all.
-	Refused    string
-	OutOfReach bool
-	RetryAfter time.Duration
+	Refused        string
+	NoUsableServer bool
+	RetryAfter     time.Duration
 
 	// tokensAhead is the number of prompt tokens queued at the server before this request.
 	// slowdown is the factor by which load at the server lengthens the answer of a plain
@@ -116,7 +116,7 @@
 func (f *Fleet) Choose(j *Job, now time.Time) Choice {
 	c := Choice{job: j, loss: math.Inf(1)}
 	prefer := f.preferenceFor(j, now)
-	c.Turn = prefer.turn
+	c.RegionDraw = prefer.turn
 	if j.Permits(f.o.Region) {
 		f.chooseServer(j, &c, prefer, now)
 	}
@@ -124,7 +124,7 @@
 		f.chooseRegion(j, &c, prefer, now)
 	}
 	if c.Server == nil && c.Host == nil {
-		c.Refused, c.RetryAfter, c.OutOfReach = "no backend server in reach", f.retryAfterNoServer(j, now), true
+		c.Refused, c.RetryAfter, c.NoUsableServer = "no backend server in reach", f.retryAfterNoServer(j, now), true
 		return c
 	}
 	if wait := time.Duration(c.EstimateMS * float64(time.Millisecond)); wait > j.Remaining {
@@ -164,7 +164,7 @@
 			continue
 		}
 		if reason := f.usable(s, now); reason != "" {
-			c.Considered = append(c.Considered, Considered{s.ID, 0, reason})
+			c.Considered = append(c.Considered, Candidate{s.ID, 0, reason})
 			continue
 		}
 		if s.cold(now) {
@@ -179,7 +179,7 @@
 	}
 	for _, s := range cold {
 		if !f.coldAllowed(s, j, now) {
-			c.Considered = append(c.Considered, Considered{s.ID, 0, "cold"})
+			c.Considered = append(c.Considered, Candidate{s.ID, 0, "cold"})
 			continue
 		}
 		f.evaluate(s, j, c, locations, regionLoss+prefer.serverLoss(s), now)
@@ -193,16 +193,16 @@
 	covered := f.coveredTokens(s, j, locations, now)
 	from, copied := f.copySource(s, j, locations, shared-covered, now)
 	covered += copied
-	uncovered := math.Max(0, j.Prompt-covered)
+	uncovered := math.Max(0, j.PromptTokens-covered)
 	factor := f.unreportedFactor(j.Service, now)
 	k := f.serverCost(s, j, uncovered, math.Max(0, shared-covered), now)
 	k.addCopy(j, copied)
 	k.loss += f.domainLoss(s, j) + extraLoss + f.crashLoss(s, j)
 	late := !f.disabled(Deferral) && k.deferIfLate(float64(s.deferred)+factor*float64(s.othersDeferred), s, j, f.speedOf(j.Service).HoldMS())
 	k.loss += f.o.Random() * tieBreakLoss
-	c.Considered = append(c.Considered, Considered{s.ID, k.firstMS, ""})
+	c.Considered = append(c.Considered, Candidate{s.ID, k.firstMS, ""})
 	if k.loss < c.loss {
-		c.Server, c.EstimateMS, c.loss, c.Uncovered, c.CopyFrom = s, k.firstMS, k.loss, uncovered, from
+		c.Server, c.EstimateMS, c.loss, c.UncoveredTokens, c.CopyFrom = s, k.firstMS, k.loss, uncovered, from
 		c.Deferred = late
 		c.tokensAhead, c.slowdown = s.own.prompt+factor*s.others.prompt, slowdown(f.requestsAt(s, now), float64(max(1, s.Slots)))
 	}
@@ -242,7 +242,7 @@
 		return cost{k.loss + unhealthy + excess/1000*delayLoss, k.firstMS + excess}
 	}
 	k := enginePromptCost(engineState{
-		requests: requests, slots: slots, pendingMS: (s.own.prompt + factor*s.others.prompt) / estimator.Rate(),
+		requests: requests, slots: slots, pendingMS: (s.own.prompt + factor*s.others.prompt) / estimator.PrefillTokensPerMS(),
 		readingShare: (s.reading.now(now) + factor*s.othersReading) / 1000,
 		memory:       s.own.memory + factor*s.others.memory, memoryCapacity: j.MemoryTokens, off: f.o.Off,
 	}, j, uncovered, reread, estimator)
@@ -277,20 +277,20 @@
 			continue
 		}
 		if now.Sub(r.asOf) > maxRegionAge {
-			c.Considered = append(c.Considered, Considered{name, 0, "not heard lately"})
+			c.Considered = append(c.Considered, Candidate{name, 0, "not heard lately"})
 			continue
 		}
 		h := f.pickHost(name, j, now)
 		if h == nil {
-			c.Considered = append(c.Considered, Considered{name, 0, "no entry host in reach"})
+			c.Considered = append(c.Considered, Candidate{name, 0, "no entry host in reach"})
 			continue
 		}
 		k, uncovered := f.regionCost(r, j, now)
 		k.loss += prefer.regionLoss(name) + f.regionCrashLoss(r, j)
-		c.Considered = append(c.Considered, Considered{name, k.firstMS, ""})
+		c.Considered = append(c.Considered, Candidate{name, k.firstMS, ""})
 		if k.loss < c.loss {
 			c.Server, c.Host, c.EstimateMS, c.loss, c.key = nil, h, k.firstMS, k.loss, key
-			c.Uncovered, c.CopyFrom, c.Deferred = uncovered, "", false
+			c.UncoveredTokens, c.CopyFrom, c.Deferred = uncovered, "", false
 		}
 	}
 }
@@ -311,8 +311,8 @@
 		return cost{k.loss + crossDomainLoss + interRegionRTTMS/1000*delayLoss + late, remoteMS}, 0
 	}
 	reread := f.rereadInRegion(r, j, now)
-	uncovered = j.Prompt - float64(sharedTokens(j.Parts)) + reread
-	pending := (r.prompt + r.forwarded.prompt) / r.servers / estimator.Rate()
+	uncovered = j.PromptTokens - float64(sharedTokens(j.Parts)) + reread
+	pending := (r.prompt + r.forwarded.prompt) / r.servers / estimator.PrefillTokensPerMS()
 	k = enginePromptCost(engineState{
 		requests: requests, slots: slots, pendingMS: pending + interRegionRTTMS,
 		memory: (r.memory + r.forwarded.memory) / r.servers, memoryCapacity: j.MemoryTokens, off: f.o.Off,
--- a/internal/core/dispatch/cold_test.go
+++ b/internal/core/dispatch/cold_test.go
@@ -107,7 +107,7 @@
 	for _, name := range v.list {
 		view.Hosts = append(view.Hosts, &pb.FleetHost{Id: name, Region: "west", Ready: true})
 	}
-	r.hosts[v.host].TakeView(view, Everything, now)
+	r.hosts[v.host].ApplyView(view, FullScope, now)
 }
 
 func (r *coldRegion) send(f *Fleet, now time.Time) {
--- a/internal/core/dispatch/copies.go
+++ b/internal/core/dispatch/copies.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	var out []holder
-	for _, h := range f.holders.Of(holders.Key(sharedChainID(j.Parts))) {
+	for _, h := range f.holders.Holders(holders.Key(sharedChainID(j.Parts))) {
 		if s := f.serversByKey[h.Server]; s != nil && s.Service == j.Service {
 			out = append(out, holder{s, h.Used})
 		}
@@ -81,7 +81,7 @@
 	if shared < minSharedTokens {
 		return remoteUncoveredShare * shared
 	}
-	for _, h := range f.holders.Of(holders.Key(sharedChainID(j.Parts))) {
+	for _, h := range f.holders.Holders(holders.Key(sharedChainID(j.Parts))) {
 		if h.Server == r.key {
 			return shared * (1 - retentionProbability(now.Sub(h.Used), remoteRetention))
 		}
@@ -96,7 +96,7 @@
 		return
 	}
 	p := holders.Place{Chain: holders.Key(sharedChainID(c.job.Parts)), Server: c.Server.key}
-	f.holders.Note(p, now)
+	f.holders.Record(p, now)
 	if len(f.unreportedPlaces) < maxUnreportedPlaces {
 		f.unreportedPlaces = append(f.unreportedPlaces, p)
 	}
@@ -105,9 +105,9 @@
 // maxUnreportedPlaces bounds the backlog of reports while no control host can be reached.
 const maxUnreportedPlaces = 512
 
-// TakeSent returns and clears the record of where prompts were sent since the last call, to be
+// TakeUnreportedPlaces returns and clears the record of where prompts were sent since the last call, to be
 // reported to the region's other hosts.
-func (f *Fleet) TakeSent() []holders.Place {
+func (f *Fleet) TakeUnreportedPlaces() []holders.Place {
 	out := f.unreportedPlaces
 	f.unreportedPlaces = nil
 	return out
@@ -118,7 +118,7 @@
 func (f *Fleet) retention(s *Server, j *Job, now time.Time) time.Duration {
 	free := j.MemoryTokens - s.own.memory - s.others.memory
 	readingMS := s.reading.now(now) + s.othersReading // ms of reading per second
-	perSecond := readingMS * f.speedOf(j.Service).Rate() * kvWrittenPerRead
+	perSecond := readingMS * f.speedOf(j.Service).PrefillTokensPerMS() * kvWrittenPerRead
 	if perSecond*maxRetention.Seconds() <= free {
 		return maxRetention
 	}
@@ -154,7 +154,7 @@
 // copySource returns the address of the engine from which a server can copy the job's shared
 // parts that it has not cached, and the number of tokens that it probably gets.
 func (f *Fleet) copySource(s *Server, j *Job, locations chainLocations, missingTokens float64, now time.Time) (addr string, tokens float64) {
-	if j.CopyPerMS <= 0 || missingTokens < minSharedTokens || f.disabled(Copies) {
+	if j.CopyTokensPerMS <= 0 || missingTokens < minSharedTokens || f.disabled(Copies) {
 		return "", 0
 	}
 	best := 0.0
@@ -173,7 +173,7 @@
 // read.
 func (k *cost) addCopy(j *Job, tokens float64) {
 	if tokens > 0 {
-		k.firstMS += tokens / j.CopyPerMS
+		k.firstMS += tokens / j.CopyTokensPerMS
 		k.loss += tokens / 1000 * copyLoss
 	}
 }
--- a/internal/core/dispatch/copies_test.go
+++ b/internal/core/dispatch/copies_test.go
@@ -10,7 +10,7 @@
 // copyJob returns a job with a long prompt for engines that copy KV cache from each other.
 func copyJob() *Job {
 	j := longJob("chain")
-	j.Permits, j.CopyPerMS = only("west"), 500
+	j.Permits, j.CopyTokensPerMS = only("west"), 500
 	return j
 }
 
@@ -26,7 +26,7 @@
 		{"held by another engine", func(*Fleet, *Job) {}, time.Second, "10.1.0.0:80"},
 		{"held too long ago", func(*Fleet, *Job) {}, 50 * time.Second, ""},
 		{"evicted, as much was read there since", func(f *Fleet, _ *Job) { f.servers["s0"].othersReading = 5000 }, 3 * time.Second, ""},
-		{"engines that don't copy", func(_ *Fleet, j *Job) { j.CopyPerMS = 0 }, time.Second, ""},
+		{"engines that don't copy", func(_ *Fleet, j *Job) { j.CopyTokensPerMS = 0 }, time.Second, ""},
 		{"little to copy", func(_ *Fleet, j *Job) { j.Parts = j.Parts[1:]; j.Parts[0].Tokens = 300 }, time.Second, ""},
 		{"the holder is leaving", func(f *Fleet, _ *Job) { f.servers["s0"].Leaving = true }, time.Second, ""},
 		{"the holder's connections break", func(f *Fleet, _ *Job) { f.servers["s0"].health.recordConnectionFailure(start.Add(time.Second)) }, time.Second, ""},
@@ -40,7 +40,7 @@
 			f := newTestFleet(2)
 			v := testView(2)
 			v.Prompts = holders.Encode([]holders.Place{{Chain: holders.Key("chain"), Server: holders.Key("s0")}})
-			f.TakeView(v, Everything, start)
+			f.ApplyView(v, FullScope, start)
 			j := copyJob()
 			c.make(f, j)
 			now := start.Add(c.age)
@@ -61,15 +61,15 @@
 	v := testView(2)
 	v.Regions = nil
 	v.Prompts = holders.Encode([]holders.Place{{Chain: holders.Key("chain"), Server: holders.Key("s0")}})
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	c := f.Choose(copyJob(), start)
 	if c.Server.ID != "s0" || c.CopyFrom != "" {
 		t.Errorf("idle: sent to %s, copies from %q", c.Server.ID, c.CopyFrom)
 	}
 	f.servers["s0"].others = load{8, 40_000, 60_000}
 	c = f.Choose(copyJob(), start)
-	if c.Server.ID != "s1" || c.CopyFrom != "10.1.0.0:80" || c.Uncovered > 3500 {
-		t.Errorf("busy: sent to %s, copies from %q, %.0f tokens are read", c.Server.ID, c.CopyFrom, c.Uncovered)
+	if c.Server.ID != "s1" || c.CopyFrom != "10.1.0.0:80" || c.UncoveredTokens > 3500 {
+		t.Errorf("busy: sent to %s, copies from %q, %.0f tokens are read", c.Server.ID, c.CopyFrom, c.UncoveredTokens)
 	}
 }
 
@@ -84,17 +84,17 @@
 	j := copyJob()
 	send(j)
 	send(shortJob())
-	reported := f.TakeSent()
+	reported := f.TakeUnreportedPlaces()
 	if len(reported) != 1 || reported[0].Chain != holders.Key("chain") || f.serversByKey[reported[0].Server] == nil {
 		t.Errorf("reported %v, want the chain once", reported)
 	}
-	if again := f.TakeSent(); len(again) != 0 {
+	if again := f.TakeUnreportedPlaces(); len(again) != 0 {
 		t.Errorf("reported again: %v", again)
 	}
 	for range maxUnreportedPlaces + 10 {
 		send(copyJob())
 	}
-	if n := len(f.TakeSent()); n > maxUnreportedPlaces {
+	if n := len(f.TakeUnreportedPlaces()); n > maxUnreportedPlaces {
 		t.Errorf("%d places kept while no control host is reachable", n)
 	}
 }
@@ -119,7 +119,7 @@
 			f := newTestFleet(2)
 			v := testView(2)
 			v.Prompts = holders.Encode(holders.InRegion(c.reportedBy, []holders.Place{{Chain: holders.Key("chain"), Server: 1}, {Chain: holders.Key("chain"), Server: 2}}))
-			f.TakeView(v, Everything, start)
+			f.ApplyView(v, FullScope, start)
 			got := f.rereadInRegion(f.regions[regionKey{"east", "llm"}], c.job, start.Add(c.age))
 			if got != c.want {
 				t.Errorf("%.0f tokens, want %.0f", got, c.want)
--- a/internal/core/dispatch/cost.go
+++ b/internal/core/dispatch/cost.go
@@ -62,10 +62,10 @@
 // enginePromptCost returns the cost of a prompt of which the engine must read uncovered tokens;
 // reread of these are shared tokens that were read before for other requests.
 func enginePromptCost(e engineState, j *Job, uncovered, reread float64, estimator *speed.Estimator) cost {
-	read := uncovered / estimator.Rate()
+	read := uncovered / estimator.PrefillTokensPerMS()
 	step := stepBaseMS + stepPerRequestMS*e.requests
 	first := estimator.BeginMS() + e.pendingMS + read + (e.pendingMS+read)/100*step + step
-	first += admissionWaitMS(e, uncovered+j.Output, estimator.HoldMS())
+	first += admissionWaitMS(e, uncovered+j.OutputTokens, estimator.HoldMS())
 	own := shortLoss
 	if j.isLong() {
 		own = longLoss
--- a/internal/core/dispatch/crashing_load_test.go
+++ b/internal/core/dispatch/crashing_load_test.go
@@ -109,14 +109,14 @@
 	for i, t := range p.tables {
 		if t != nil {
 			var own []*pb.QuarantineRecord
-			own, p.reportedRevisions[i] = t.Since(p.reportedRevisions[i], 1000, quarantine.Own, p.now)
+			own, p.reportedRevisions[i] = t.Since(p.reportedRevisions[i], 1000, quarantine.LocalChanges, p.now)
 			p.control.Merge(own, p.now)
 		}
 	}
 	var records []*pb.QuarantineRecord
-	records, p.publishedRevision = p.control.Since(p.publishedRevision, 1000, quarantine.Decisive, p.now)
+	records, p.publishedRevision = p.control.Since(p.publishedRevision, 1000, quarantine.NeededByEntryHosts, p.now)
 	for i, h := range p.hosts {
-		h.TakeView(v, Everything, p.now)
+		h.ApplyView(v, FullScope, p.now)
 		if p.tables[i] != nil {
 			p.tables[i].Merge(records, p.now)
 		}
@@ -164,7 +164,7 @@
 			delete(e.running, id)
 			p.hosts[host].Ended(c, Served, time.Second, p.now)
 			if t != nil {
-				t.Served(r.fingerprint, p.now)
+				t.RecordAnswer(r.fingerprint, p.now)
 			}
 			p.finish(host, r)
 		}
@@ -175,7 +175,7 @@
 // report yet; these refuse the connection.
 func (p *crashSimulation) place(host int, r *crashRequest) (*Choice, *crashEngine) {
 	j := shortJob()
-	j.Ends = r.judgement.Ends
+	j.ServerCrashes = r.judgement.ServerCrashes
 	for range 1 + connectTries {
 		c := p.hosts[host].Choose(j, p.now)
 		if c.Server == nil {
@@ -185,7 +185,7 @@
 		if e := p.engineOf(&c); e != nil {
 			return &c, e
 		}
-		p.hosts[host].Ended(&c, Broke, 0, p.now)
+		p.hosts[host].Ended(&c, ConnectionFailed, 0, p.now)
 		j.Tried[c.Server.ID] = true
 	}
 	return nil, nil
@@ -222,9 +222,9 @@
 	e.starts++
 	for _, id := range slices.Sorted(maps.Keys(runs)) {
 		x := runs[id]
-		p.hosts[x.host].Ended(x.choice, Broke, 0, p.now)
+		p.hosts[x.host].Ended(x.choice, ConnectionFailed, 0, p.now)
 		if t := p.tables[x.host]; t != nil {
-			t.Ended(quarantine.Evidence{Fingerprint: x.job.fingerprint, Server: quarantine.Start{ID: key}.Key(), Service: "llm"}, p.now)
+			t.RecordCrash(quarantine.Evidence{Fingerprint: x.job.fingerprint, Server: quarantine.ServerProcess{ID: key}.Key(), Service: "llm"}, p.now)
 		}
 		p.finish(x.host, x.job)
 		if !x.job.crashes {
@@ -311,12 +311,12 @@
 // runsAfterThirdCrash returns how often the crashing request started to run more than d after
 // crash number quarantine.Crashes, the third one.
 func (p *crashSimulation) runsAfterThirdCrash(d time.Duration) int {
-	if len(p.crashTimes) < quarantine.Crashes {
+	if len(p.crashTimes) < quarantine.CrashThreshold {
 		return 0
 	}
 	n := 0
 	for _, at := range p.crashingRuns {
-		if at.After(p.crashTimes[quarantine.Crashes-1].Add(d)) {
+		if at.After(p.crashTimes[quarantine.CrashThreshold-1].Add(d)) {
 			n++
 		}
 	}
@@ -393,7 +393,7 @@
 	busy("s1", 2)
 	busy("s2", 9)
 	suspect := homeJob()
-	suspect.Ends = 2
+	suspect.ServerCrashes = 2
 	c := f.Choose(suspect, start)
 	if c.Server == nil || c.Server.ID != "s1" {
 		t.Fatalf("the suspect goes to %+v, want the server with fewest requests", c.Server)
--- a/internal/core/dispatch/defer_test.go
+++ b/internal/core/dispatch/defer_test.go
@@ -16,7 +16,7 @@
 	v := testView(1)
 	v.Regions, v.Servers[0].Slots = nil, 16
 	v.Loads = serverload.Encode(serverload.Loads{holders.Key("s0"): {Requests: 60}})
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	return f
 }
 
@@ -66,7 +66,7 @@
 	v := testView(1)
 	v.Servers[0].AgeMs = 6000
 	end := start.Add(6 * time.Second)
-	f.TakeView(v, Everything, end)
+	f.ApplyView(v, FullScope, end)
 	if !f.Lost(&choice, end) {
 		t.Error("not lost")
 	}
@@ -119,7 +119,7 @@
 	f := newTestFleet(1)
 	v := testView(1)
 	v.Regions, v.Servers[0].Slots = nil, engineSlots
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	e := &simulatedEngine{f: f}
 	all := 0
 	for ms := 0; ms < 20_000; ms += 10 {
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -15,7 +15,7 @@
 func newTestFleet(n int) *Fleet {
 	rnd := rand.New(rand.NewSource(1))
 	f := New(Options{Host: "h1", Region: "west", FailureDomain: "w1", Random: rnd.Float64, PrefillRate: 38 / 1.25})
-	f.TakeView(testView(n), Everything, start)
+	f.ApplyView(testView(n), FullScope, start)
 	return f
 }
 
@@ -37,13 +37,13 @@
 
 func shortJob() *Job {
 	jobCount++
-	return &Job{Service: "llm", Engine: true, MemoryTokens: 180_000, Prompt: 800, Output: 290, Parts: []Part{{"a", 120}, {"b", 80}, {fmt.Sprint("own", jobCount), 600}},
+	return &Job{Service: "llm", Engine: true, MemoryTokens: 180_000, PromptTokens: 800, OutputTokens: 290, Parts: []Part{{"a", 120}, {"b", 80}, {fmt.Sprint("own", jobCount), 600}},
 		Permits: func(string) bool { return true }, Remaining: 15 * time.Second, Target: time.Second, Tried: map[string]bool{}, ColdPerSecond: 2.6}
 }
 
 func longJob(chain string) *Job {
 	j := shortJob()
-	j.Prompt, j.Output = 9200, 50
+	j.PromptTokens, j.OutputTokens = 9200, 50
 	j.Parts = []Part{{"top", 2500}, {chain, 3800}, {fmt.Sprint("own", jobCount), 2900}}
 	return j
 }
@@ -78,7 +78,7 @@
 			v := testView(2)
 			v.Hosts, v.Regions = nil, nil
 			c.make(f, v)
-			f.TakeView(v, Everything, start.Add(c.now))
+			f.ApplyView(v, FullScope, start.Add(c.now))
 			for range 20 {
 				choice := f.Choose(shortJob(), start.Add(c.now))
 				if choice.Server == nil || choice.Server.ID != "s1" {
@@ -97,10 +97,10 @@
 	v.Servers[0].Leaving = true
 	v.Servers[1].Gone = true
 	v.Evacuated, v.EvacuationRevision = []string{"x"}, 4
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	late := testView(2)
 	late.EvacuationRevision = 3
-	f.TakeView(late, Everything, start)
+	f.ApplyView(late, FullScope, start)
 	if !f.servers["s0"].Leaving {
 		t.Error("a leaving server is used again")
 	}
@@ -131,7 +131,7 @@
 	c := f.Choose(shortJob(), start)
 	f.Started(&c, start)
 	later := start.Add(3 * time.Second)
-	f.TakeView(v, Everything, later)
+	f.ApplyView(v, FullScope, later)
 	if other := f.Choose(shortJob(), later); other.Server == c.Server {
 		t.Error("the silent server was preferred to the other")
 	}
@@ -151,7 +151,7 @@
 		s.AgeMs = 6000
 	}
 	end := later.Add(6 * time.Second)
-	f.TakeView(v, Everything, end)
+	f.ApplyView(v, FullScope, end)
 	if !f.Lost(&c, end) {
 		t.Error("a server that is silent and does not announce itself is not lost")
 	}
@@ -223,7 +223,7 @@
 	v := testView(1)
 	v.Regions, v.Servers[0].ColdMs = nil, 3000
 	began := start.Add(time.Second)
-	f.TakeView(v, Everything, began)
+	f.ApplyView(v, FullScope, began)
 	sent := 0
 	for i := range 100 {
 		now := began.Add(time.Duration(i) * 10 * time.Millisecond)
@@ -280,7 +280,7 @@
 // although no view reports it as gone.
 func TestAnnouncedServersStayInUse(t *testing.T) {
 	f := New(Options{Region: "west", FailureDomain: "w1", Random: func() float64 { return 0.5 }})
-	f.TakeView(testView(2), Everything, start)
+	f.ApplyView(testView(2), FullScope, start)
 	announced, silent := f.servers["s0"], f.servers["s1"]
 	if announced == nil || silent == nil {
 		t.Fatal("the servers of the view are missing")
@@ -288,7 +288,7 @@
 	now := start
 	for now.Sub(start) < 10*time.Second {
 		now = now.Add(time.Second)
-		f.TakeView(&pb.FleetView{HeardServers: []uint32{announced.key, 99}, HeardAges: []uint32{2}}, Scope{Fleet: true, SameHosts: true}, now)
+		f.ApplyView(&pb.FleetView{HeardServers: []uint32{announced.key, 99}, HeardAges: []uint32{2}}, ViewScope{Fleet: true, SameHosts: true}, now)
 	}
 	if r := f.usable(announced, now); r != "" || now.Sub(announced.AnnouncedAt) != 100*time.Millisecond {
 		t.Errorf("server with announcements: %q, last announced %s ago", r, now.Sub(announced.AnnouncedAt))
--- a/internal/core/dispatch/fleet.go
+++ b/internal/core/dispatch/fleet.go
@@ -123,9 +123,9 @@
 	departureRetention = 5 * time.Minute
 )
 
-// Scope selects the parts of a view to apply besides its servers and evacuations, which are
+// ViewScope selects the parts of a view to apply besides its servers and evacuations, which are
 // always applied as each of them has a version or an age of its own.
-type Scope struct {
+type ViewScope struct {
 	// Loads selects the loads of the region's other entry hosts.
 	Loads bool
 	// Others, unless nil, replaces the view's loads.
@@ -137,11 +137,11 @@
 	SameHosts bool
 }
 
-// Everything is the scope for the view of a control host that is near and up to date.
-var Everything = Scope{Loads: true, Fleet: true}
+// FullScope is the scope for the view of a control host that is near and up to date.
+var FullScope = ViewScope{Loads: true, Fleet: true}
 
-// TakeView applies a view received from a control host.
-func (f *Fleet) TakeView(v *pb.FleetView, scope Scope, now time.Time) {
+// ApplyView applies a view received from a control host.
+func (f *Fleet) ApplyView(v *pb.FleetView, scope ViewScope, now time.Time) {
 	f.lastViewAt = now
 	f.applyEvacuated(v.Evacuated, v.EvacuationRevision, now)
 	for _, m := range v.Servers {
@@ -152,7 +152,7 @@
 		f.sweep(now)
 	}
 	for _, p := range holders.Decode(v.Prompts) {
-		f.holders.Note(p, now)
+		f.holders.Record(p, now)
 	}
 	switch {
 	case scope.Loads && scope.Others != nil:
@@ -191,7 +191,7 @@
 		}
 	}
 	f.sweepChains(now)
-	f.holders.Forget(now)
+	f.holders.Expire(now)
 }
 
 // disabled reports whether an experiment disables a mechanism.
@@ -201,7 +201,7 @@
 	for _, s := range f.servers {
 		l := loads[s.key]
 		s.others = load{int(l.Requests), float64(l.PromptTokens), float64(l.MemoryTokens)}
-		s.othersReading, s.othersDeferred = float64(l.ReadingMS), int(l.Deferred)
+		s.othersReading, s.othersDeferred = float64(l.PrefillMS), int(l.Deferred)
 	}
 	f.applyArrivals(loads, now)
 }
@@ -269,8 +269,8 @@
 	}
 }
 
-// PeerOf returns the peer address of another region's entry host; "" if the host is not known.
-func (f *Fleet) PeerOf(host string) string {
+// PeerAddress returns the peer address of another region's entry host; "" if the host is not known.
+func (f *Fleet) PeerAddress(host string) string {
 	for _, list := range f.hosts {
 		for _, h := range list {
 			if h.ID == host {
@@ -294,7 +294,7 @@
 func (f *Fleet) Speeds() map[string]Speed {
 	out := make(map[string]Speed, len(f.speeds))
 	for service, e := range f.speeds {
-		out[service] = Speed{e.Rate(), e.BeginMS(), e.AnswerMS(), e.HoldMS(), e.Samples()}
+		out[service] = Speed{e.PrefillTokensPerMS(), e.BeginMS(), e.AnswerMS(), e.HoldMS(), e.Samples()}
 	}
 	return out
 }
@@ -302,8 +302,8 @@
 // Neighbors returns the number of ready entry hosts of the own region, this one included.
 func (f *Fleet) Neighbors() int { return max(1, len(f.neighbors)) }
 
-// AllHosts returns the number of ready entry hosts of all regions, this one included.
-func (f *Fleet) AllHosts() int {
+// HostCount returns the number of ready entry hosts of all regions, this one included.
+func (f *Fleet) HostCount() int {
 	n := f.Neighbors()
 	for _, l := range f.hosts {
 		n += len(l)
@@ -330,7 +330,7 @@
 	for _, s := range f.servers {
 		if reading := s.reading.now(now); s.own.requests > 0 || s.deferred > 0 || reading >= 1 {
 			out[s.key] = serverload.Load{
-				Deferred: uint32(s.deferred), Requests: uint32(s.own.requests), ReadingMS: uint32(reading),
+				Deferred: uint32(s.deferred), Requests: uint32(s.own.requests), PrefillMS: uint32(reading),
 				PromptTokens: uint32(math.Max(0, s.own.prompt)), MemoryTokens: uint32(math.Max(0, s.own.memory)),
 			}
 		}
--- a/internal/core/dispatch/hold_test.go
+++ b/internal/core/dispatch/hold_test.go
@@ -17,7 +17,7 @@
 	f := newTestFleet(1)
 	v := testView(1)
 	v.Regions, v.Servers[0].Slots = nil, slots
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	now := start
 	for range 200 {
 		c := f.Choose(shortJob(), now)
@@ -26,7 +26,7 @@
 		f.Ended(&c, Served, 50*time.Millisecond, now.Add(50*time.Millisecond+holdMS*time.Millisecond))
 	}
 	v.Loads = serverload.Encode(serverload.Loads{holders.Key("s0"): {Requests: slots + over}})
-	f.TakeView(v, Everything, now)
+	f.ApplyView(v, FullScope, now)
 	j := shortJob()
 	j.Permits = only("west")
 	c := f.Choose(j, now)
--- a/internal/core/dispatch/homes.go
+++ b/internal/core/dispatch/homes.go
@@ -13,7 +13,7 @@
 // the engines, which alone makes a step take 50 ms.
 const longPromptTokens = 2000
 
-func (j *Job) isLong() bool { return j.Engine && j.Prompt >= longPromptTokens }
+func (j *Job) isLong() bool { return j.Engine && j.PromptTokens >= longPromptTokens }
 
 // homeCoverage is the fraction of a chain's shared parts that its first, second and third home
 // probably have cached. All hosts overflow from one home to the next in the same order.
@@ -70,7 +70,7 @@
 // region's other hosts receives as many requests for it as this one.
 func (f *Fleet) homeCount(j *Job, key string, now time.Time) int {
 	perSecond := f.chainRates[key].now(now) / chainTimeConstant.Seconds() * float64(f.Neighbors())
-	readMS := (j.Prompt - float64(sharedTokens(j.Parts))) / f.speedOf(j.Service).Rate()
+	readMS := (j.PromptTokens - float64(sharedTokens(j.Parts))) / f.speedOf(j.Service).PrefillTokensPerMS()
 	return 1 + int(perSecond*readMS/1000/maxHomeUse)
 }
 
--- a/internal/core/dispatch/isolation.go
+++ b/internal/core/dispatch/isolation.go
@@ -18,7 +18,7 @@
 		return 0
 	}
 	others := float64(s.own.requests + s.others.requests + s.deferred + s.othersDeferred)
-	return errorLoss * (quarantine.Suspicion(j.Ends)*others + math.Min(1, s.suspicion))
+	return errorLoss * (quarantine.CrashProbability(j.ServerCrashes)*others + math.Min(1, s.suspicion))
 }
 
 // regionCrashLoss returns the expected loss at an average server of another region if a
@@ -27,5 +27,5 @@
 	if f.disabled(Isolation) || r.servers == 0 {
 		return 0
 	}
-	return errorLoss * quarantine.Suspicion(j.Ends) * r.requests / r.servers
+	return errorLoss * quarantine.CrashProbability(j.ServerCrashes) * r.requests / r.servers
 }
--- a/internal/core/dispatch/load_test.go
+++ b/internal/core/dispatch/load_test.go
@@ -69,7 +69,7 @@
 	loads := make([]serverload.Loads, len(p.hosts))
 	sent := make([][]holders.Place, len(p.hosts))
 	for i, h := range p.hosts {
-		loads[i], sent[i] = h.Loads(p.now), h.TakeSent()
+		loads[i], sent[i] = h.Loads(p.now), h.TakeUnreportedPlaces()
 	}
 	for i, h := range p.hosts {
 		v := testView(len(p.backlog))
@@ -90,7 +90,7 @@
 		}
 		v.Loads = serverload.Encode(sums)
 		v.Prompts = holders.Encode(places)
-		h.TakeView(v, Everything, p.now)
+		h.ApplyView(v, FullScope, p.now)
 	}
 }
 
@@ -148,7 +148,7 @@
 
 func (p *simulatedRegion) arrive(j *Job, long bool) []*activeRequest {
 	h := p.hosts[p.rnd.Intn(len(p.hosts))]
-	j.Permits, j.CopyPerMS = only("west"), p.copyPerMS
+	j.Permits, j.CopyTokensPerMS = only("west"), p.copyPerMS
 	c := h.Choose(j, p.now)
 	if c.Server == nil {
 		p.waits = append(p.waits, 1e6)
@@ -288,12 +288,12 @@
 	f := newTestFleet(2)
 	v := testView(2)
 	v.Regions, v.Servers[1].FailureDomain = nil, "w2"
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	if c := f.Choose(shortJob(), start); c.Server.ID != "s0" {
 		t.Errorf("%s chosen though the engine of the own failure domain is idle", c.Server.ID)
 	}
 	v.Loads = serverload.Encode(serverload.Loads{holders.Key("s0"): {Requests: 20, PromptTokens: 10_000}})
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	if c := f.Choose(shortJob(), start); c.Server.ID != "s1" {
 		t.Errorf("%s chosen though the engine of the own failure domain is busy", c.Server.ID)
 	}
--- a/internal/core/dispatch/lost_test.go
+++ b/internal/core/dispatch/lost_test.go
@@ -25,7 +25,7 @@
 			f := New(Options{Host: "h1", Region: "west", FailureDomain: "w1", Random: func() float64 { return 0 }, PrefillRate: 38 / 1.25, AnnounceEvery: c.announceEvery})
 			v := testView(2)
 			v.Hosts, v.Regions = nil, nil
-			f.TakeView(v, Everything, start)
+			f.ApplyView(v, FullScope, start)
 			choice := f.Choose(shortJob(), start)
 			f.Started(&choice, start)
 			now := start.Add(20 * time.Second)
@@ -35,7 +35,7 @@
 					s.AgeMs = uint64(c.announcementAge.Milliseconds())
 				}
 			}
-			f.TakeView(v, Everything, now)
+			f.ApplyView(v, FullScope, now)
 			if got := f.Lost(&choice, now); got != c.lost {
 				t.Errorf("lost: %v", got)
 			}
--- a/internal/core/dispatch/mechanisms_test.go
+++ b/internal/core/dispatch/mechanisms_test.go
@@ -38,18 +38,18 @@
 			f.MarkGone("s1", 0, start)
 		}, func(c Choice) bool { return c.Host != nil }},
 		{"health", Health, func(f *Fleet) {
-			f.TakeView(testView(2), Everything, start)
+			f.ApplyView(testView(2), FullScope, start)
 			f.servers["s0"].health.errors = decayingMean{1, start}
 		}, func(c Choice) bool { return c.Server != nil && c.Server.ID == "s1" }},
 		{"silence", StallAvoidance, func(f *Fleet) {
-			f.TakeView(testView(2), Everything, start)
+			f.ApplyView(testView(2), FullScope, start)
 			f.servers["s0"].own.requests, f.servers["s0"].progressAt = 1, start.Add(-time.Minute)
 			f.servers["s1"].own.requests, f.servers["s1"].progressAt = 2, start
 		}, func(c Choice) bool { return c.Server != nil && c.Server.ID == "s1" }},
 		{"own domain first", OwnDomainFirst, func(f *Fleet) {
 			v := testView(2)
 			v.Servers[1].FailureDomain = "w2"
-			f.TakeView(v, Everything, start)
+			f.ApplyView(v, FullScope, start)
 			f.servers["s0"].own.prompt = 1500 // a short wait
 		}, func(c Choice) bool { return c.Server != nil && c.Server.ID == "s0" }},
 	} {
--- a/internal/core/dispatch/observed.go
+++ b/internal/core/dispatch/observed.go
@@ -47,9 +47,9 @@
 	return min(maxUnreportedFactor, max(1, (o.reported*fade+comparisonPrior)/(o.recorded*fade+comparisonPrior)))
 }
 
-// Observed records the number of requests, running and waiting, that the server of an attempt
+// RecordReportedRequests records the number of requests, running and waiting, that the server of an attempt
 // reported with the head of its answer.
-func (f *Fleet) Observed(c *Choice, requests int, now time.Time) {
+func (f *Fleet) RecordReportedRequests(c *Choice, requests int, now time.Time) {
 	s := c.Server
 	if s == nil || f.disabled(LoadsObserved) {
 		return
--- a/internal/core/dispatch/outcome.go
+++ b/internal/core/dispatch/outcome.go
@@ -30,9 +30,9 @@
 		f.recordChainRequest(sharedChainID(c.job.Parts), now)
 		f.recordHolder(c, now)
 		c.Server.cache.recordUse(c.job.Parts, int(c.job.MemoryTokens), now)
-		c.Server.reading.add(c.Uncovered/f.speedOf(c.job.Service).Rate(), now)
+		c.Server.reading.add(c.UncoveredTokens/f.speedOf(c.job.Service).PrefillTokensPerMS(), now)
 	}
-	c.Server.suspicion += quarantine.Suspicion(c.job.Ends)
+	c.Server.suspicion += quarantine.CrashProbability(c.job.ServerCrashes)
 	if c.Server.cold(now) {
 		c.Server.coldSends = append(c.Server.coldSends, now)
 	}
@@ -48,7 +48,7 @@
 			c.Server.deferred--
 			c.Server.own.add(c.load())
 		}
-		c.Server.own.prompt = math.Max(0, c.Server.own.prompt-c.Uncovered)
+		c.Server.own.prompt = math.Max(0, c.Server.own.prompt-c.UncoveredTokens)
 	}
 	c.firstByteSeen = true
 }
@@ -62,9 +62,9 @@
 	switch {
 	case c.Deferred || c.CopyFrom != "" || f.disabled(LearnedSpeeds):
 	case c.job.Engine:
-		e.Event(speed.Sample{Read: c.Uncovered, Ahead: c.tokensAhead, FirstMS: ms})
+		e.ObserveFirstEvent(speed.Sample{PrefillTokens: c.UncoveredTokens, QueuedAheadTokens: c.tokensAhead, FirstEventMS: ms})
 	default:
-		e.Answer(ms / c.slowdown)
+		e.ObserveAnswer(ms / c.slowdown)
 	}
 }
 
@@ -106,37 +106,37 @@
 
 // Outcomes of attempts.
 const (
-	Served      Outcome = iota // the answer was complete
-	Failed                     // the server answered with a failure of its own
-	Refused                    // the server answered that it did not run the request
-	Broke                      // the connection could not be established, or broke
-	CallerEnded                // the caller disconnected, or its deadline passed
+	Served           Outcome = iota // the answer was complete
+	Failed                          // the server answered with a failure of its own
+	Refused                         // the server answered that it did not run the request
+	ConnectionFailed                // the connection could not be established, or broke
+	CallerEnded                     // the caller disconnected, or its deadline passed
 )
 
 // Ended records the end of an attempt. first is the time to its first byte.
 func (f *Fleet) Ended(c *Choice, o Outcome, first time.Duration, now time.Time) {
 	if c.Server == nil {
-		if o == Broke && c.Host != nil {
+		if o == ConnectionFailed && c.Host != nil {
 			c.Host.suspectUntil = now.Add(suspectTimeout)
 		}
 		return
 	}
 	s := c.Server
-	s.suspicion = math.Max(0, s.suspicion-quarantine.Suspicion(c.job.Ends))
+	s.suspicion = math.Max(0, s.suspicion-quarantine.CrashProbability(c.job.ServerCrashes))
 	if c.Deferred && !c.firstByteSeen {
 		s.deferred--
 	} else {
 		s.own.requests = max(0, s.own.requests-1)
-		s.own.memory = math.Max(0, s.own.memory-c.Uncovered-c.job.Output)
+		s.own.memory = math.Max(0, s.own.memory-c.UncoveredTokens-c.job.OutputTokens)
 		if !c.firstByteSeen {
-			s.own.prompt = math.Max(0, s.own.prompt-c.Uncovered)
+			s.own.prompt = math.Max(0, s.own.prompt-c.UncoveredTokens)
 		}
 	}
 	if o == Served && c.job.Engine && c.firstByteSeen && !f.disabled(LearnedSpeeds) {
-		f.speedOf(c.job.Service).End(float64(now.Sub(c.startedAt)-first) / float64(time.Millisecond))
+		f.speedOf(c.job.Service).ObserveHold(float64(now.Sub(c.startedAt)-first) / float64(time.Millisecond))
 	}
 	switch o {
-	case Broke:
+	case ConnectionFailed:
 		s.health.recordConnectionFailure(now)
 	case Served, Failed:
 		s.health.recordAnswer(o == Failed, first-time.Duration(c.EstimateMS*float64(time.Millisecond)), now)
@@ -147,7 +147,9 @@
 const suspectTimeout = 2 * time.Second
 
 // load returns the load that the request adds to a server.
-func (c *Choice) load() load { return load{1, c.Uncovered, c.Uncovered + c.job.Output} }
+func (c *Choice) load() load {
+	return load{1, c.UncoveredTokens, c.UncoveredTokens + c.job.OutputTokens}
+}
 
 func (l *load) add(x load) {
 	l.requests += x.requests
--- a/internal/core/dispatch/regions.go
+++ b/internal/core/dispatch/regions.go
@@ -55,9 +55,9 @@
 	return out
 }
 
-// RegionsToAsk returns an entry host of each region whose figures are older than
+// HostsToQuery returns an entry host of each region whose figures are older than
 // maxAgeBeforeQuery.
-func (f *Fleet) RegionsToAsk(now time.Time) []*Host {
+func (f *Fleet) HostsToQuery(now time.Time) []*Host {
 	if f.disabled(RegionsAsked) {
 		return nil
 	}
@@ -84,9 +84,9 @@
 	return at
 }
 
-// TakeRegion applies the loads that an entry host of another region reported of that region, as
+// ApplyRegionLoads applies the loads that an entry host of another region reported of that region, as
 // of a time; nil loads mean that the host did not answer.
-func (f *Fleet) TakeRegion(h *Host, loads []*pb.RegionLoad, at, now time.Time) {
+func (f *Fleet) ApplyRegionLoads(h *Host, loads []*pb.RegionLoad, at, now time.Time) {
 	if loads == nil {
 		h.suspectUntil = now.Add(suspectTimeout)
 		return
--- a/internal/core/dispatch/restored_test.go
+++ b/internal/core/dispatch/restored_test.go
@@ -39,7 +39,7 @@
 				v := testView(1)
 				v.Regions, v.Evacuated, v.EvacuationRevision = nil, evacuated, revision
 				v.Servers[0].AgeMs, v.Servers[0].ColdMs = uint64(now.Sub(announcedAt).Milliseconds()), coldMS
-				f.TakeView(v, Everything, now)
+				f.ApplyView(v, FullScope, now)
 			}
 			last := restored.Add(-2 * time.Second)
 			view([]string{"w1"}, 1, last, 0, restored.Add(-time.Second))
--- a/internal/core/dispatch/servers.go
+++ b/internal/core/dispatch/servers.go
@@ -255,10 +255,10 @@
 
 // Sightings returns the known servers, and the releases that each service's servers run,
 // leaving out servers that are leaving or have missed their announcements.
-func (f *Fleet) Sightings() (servers []quarantine.Sighting, releases map[string][]string) {
+func (f *Fleet) Sightings() (servers []quarantine.Announcement, releases map[string][]string) {
 	releases = map[string][]string{}
 	for _, s := range f.servers {
-		servers = append(servers, quarantine.Sighting{Start: quarantine.Start{ID: s.ID, Born: s.Start}, Address: s.Address, HeardAt: s.AnnouncedAt})
+		servers = append(servers, quarantine.Announcement{Start: quarantine.ServerProcess{ID: s.ID, StartID: s.Start}, Address: s.Address, ReceivedAt: s.AnnouncedAt})
 		if !s.Leaving && !f.missing(s) && !slices.Contains(releases[s.Service], s.Release) {
 			releases[s.Service] = append(releases[s.Service], s.Release)
 		}
--- a/internal/core/dispatch/service_load_test.go
+++ b/internal/core/dispatch/service_load_test.go
@@ -33,7 +33,7 @@
 	hosts           map[string][]*Fleet
 	names           []string
 	servers         map[string][]*simulatedServer
-	budgets         map[*Fleet]*retry.Shared
+	budgets         map[*Fleet]*retry.SharedBudget
 	due             map[int][]func() // by step
 	reportedRegions []*pb.RegionLoad
 
@@ -54,7 +54,7 @@
 func newSimulatedService(seed int64, hosts int, servers map[string]int) *simulatedService {
 	p := &simulatedService{
 		rnd: rand.New(rand.NewSource(seed)), now: start, names: []string{"east", "south", "west"},
-		hosts: map[string][]*Fleet{}, servers: map[string][]*simulatedServer{}, budgets: map[*Fleet]*retry.Shared{}, due: map[int][]func(){},
+		hosts: map[string][]*Fleet{}, servers: map[string][]*simulatedServer{}, budgets: map[*Fleet]*retry.SharedBudget{}, due: map[int][]func(){},
 	}
 	for _, region := range p.names {
 		for i := range servers[region] {
@@ -65,7 +65,7 @@
 				Host: fmt.Sprintf("%s-h%03d", region, i), Region: region, FailureDomain: fmt.Sprintf("%s-%d", region, i%2), Random: p.rnd.Float64,
 			})
 			p.hosts[region] = append(p.hosts[region], h)
-			p.budgets[h] = retry.NewShared(retry.SharedOptions{Ratio: 0.2, Slack: 2 * float64(hosts), Window: 10 * time.Second}, start)
+			p.budgets[h] = retry.NewSharedBudget(retry.SharedBudgetOptions{Ratio: 0.2, Slack: 2 * float64(hosts), Window: 10 * time.Second}, start)
 			p.budgets[h].SetHosts(hosts)
 		}
 	}
@@ -92,7 +92,7 @@
 			others := serverload.Loads{}
 			others.Add(sums)
 			others.Sub(own[i])
-			h.TakeView(p.viewOf(region, others), Everything, p.now)
+			h.ApplyView(p.viewOf(region, others), FullScope, p.now)
 		}
 	}
 	p.reportedRegions = next
@@ -192,7 +192,7 @@
 func (p *simulatedService) arrive(region string) {
 	p.requests++
 	h := p.hosts[region][p.rnd.Intn(len(p.hosts[region]))]
-	h.Arrived("desk", p.now)
+	h.RecordArrival("desk", p.now)
 	p.budgets[h].Request(p.now)
 	p.try(h, &callerRequest{arrived: p.now, tried: map[string]bool{}})
 }
@@ -209,7 +209,7 @@
 func (p *simulatedService) try(h *Fleet, c *callerRequest) {
 	const maxAttempts = 4
 	c.attempts++
-	if c.attempts > maxAttempts || (c.attempts > 1 && !p.budgets[h].Repeat(p.now)) {
+	if c.attempts > maxAttempts || (c.attempts > 1 && !p.budgets[h].Retry(p.now)) {
 		p.refused++
 		return
 	}
@@ -262,7 +262,7 @@
 	attempt = func() {
 		rchoice := remote.Choose(p.job(rc, true), p.now)
 		rc.attempts++
-		if rc.attempts > 2 || rchoice.Refused != "" || (rc.attempts > 1 && !p.budgets[remote].Repeat(p.now)) {
+		if rc.attempts > 2 || rchoice.Refused != "" || (rc.attempts > 1 && !p.budgets[remote].Retry(p.now)) {
 			back(func() { c.tried[there] = true; again() }, Refused)
 			return
 		}
--- a/internal/core/dispatch/share.go
+++ b/internal/core/dispatch/share.go
@@ -93,17 +93,17 @@
 // preference is the result of the random draw for one request. The zero preference, of a
 // request that is not distributed by shares, adds no loss to any candidate.
 type preference struct {
-	turn *Turn           // nil in the zero preference
+	turn *RegionDraw     // nil in the zero preference
 	rank map[*Server]int // position of each server of the own region, most preferred first
 }
 
-// Turn is the region drawn for a request for a plain service, with the figures of the own
+// RegionDraw is the region drawn for a request for a plain service, with the figures of the own
 // region that led to it, for the log.
-type Turn struct {
-	Region  string  // the drawn region
-	Asked   float64 // requests per second from the own region's callers
-	CanRun  float64 // requests per second that the own region's servers can run
-	Waiting float64 // requests waiting for a slot in the own region
+type RegionDraw struct {
+	Region            string  // the drawn region
+	ArrivalsPerSecond float64 // requests per second from the own region's callers
+	CapacityPerSecond float64 // requests per second that the own region's servers can run
+	Waiting           float64 // requests waiting for a slot in the own region
 }
 
 // preferenceFor draws the region and the order of servers for a request for a plain service. A
@@ -117,7 +117,7 @@
 		s.estimatedRequests = f.requestsAt(s, now)
 	}
 	own := f.ownPool(j.Service, servers, now)
-	t := &Turn{f.o.Region, own.arrivals, own.capacity, own.waiting}
+	t := &RegionDraw{f.o.Region, own.arrivals, own.capacity, own.waiting}
 	rank := f.rankServers(servers, own)
 	if !j.Forwarded {
 		t.Region = drawRegion(excessShares(own, f.otherPools(j, now)), f.o.Random(), f.o.Region)
--- a/internal/core/dispatch/slots_load_test.go
+++ b/internal/core/dispatch/slots_load_test.go
@@ -119,7 +119,7 @@
 					v.Hosts = append(v.Hosts, &pb.FleetHost{Id: fmt.Sprintf("%s%02d", o.name, k), Region: o.name, Peer: fmt.Sprint(k), Ready: true})
 				}
 			}
-			h.TakeView(v, Everything, p.now)
+			h.ApplyView(v, FullScope, p.now)
 			if p.queryRegions {
 				p.queryOtherRegions(r, h)
 			}
@@ -128,10 +128,10 @@
 }
 
 func (p *slotSimulation) queryOtherRegions(r *slotRegion, h *Fleet) {
-	for _, other := range h.RegionsToAsk(p.now) {
+	for _, other := range h.HostsToQuery(p.now) {
 		for _, o := range p.regions {
 			if o.name == other.Region {
-				h.TakeRegion(other, o.hosts[p.rnd.Intn(len(o.hosts))].RegionLoads(p.now), p.now.Add(-slotRegionRTT/2), p.now)
+				h.ApplyRegionLoads(other, o.hosts[p.rnd.Intn(len(o.hosts))].RegionLoads(p.now), p.now.Add(-slotRegionRTT/2), p.now)
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 
 func (p *slotSimulation) arrive(r *slotRegion, j *Job, arrived time.Time, forwarded bool) {
 	h := r.hosts[p.rnd.Intn(len(r.hosts))]
-	h.Arrived("llm", p.now)
+	h.RecordArrival("llm", p.now)
 	j.Permits = func(string) bool { return true }
 	j.Forwarded, j.Target, j.Remaining = forwarded, slotTarget, p.callerTimeout-p.now.Sub(arrived)
 	c := h.Choose(j, p.now)
@@ -225,7 +225,7 @@
 		first := p.now.Add(slotFirst).Sub(q.arrived)
 		q.end = p.now.Add(time.Duration((0.5 + p.rnd.Float64()) * float64(slotHold)))
 		q.host.FirstByte(&q.choice, p.now.Add(slotFirst).Sub(q.choice.startedAt))
-		q.host.Observed(&q.choice, len(e.queue), p.now)
+		q.host.RecordReportedRequests(&q.choice, len(e.queue), p.now)
 		if first <= slotTarget {
 			p.tally["in time"]++
 		} else {
--- a/internal/core/dispatch/starts_test.go
+++ b/internal/core/dispatch/starts_test.go
@@ -24,7 +24,7 @@
 	f := newTestFleet(1)
 	v := restartedView(10)
 	v.Servers[0].Leaving = true
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	old := f.servers["s0"]
 	old.health.recordConnectionFailure(start)
 	old.SetCold(start.Add(time.Hour))
@@ -33,17 +33,17 @@
 	v = restartedView(20)
 	v.Loads = serverload.Encode(serverload.Loads{incarnation.Key("s0", 10): {Requests: 60}})
 	v.Prompts = holders.Encode([]holders.Place{{Chain: holders.Key("chain"), Server: incarnation.Key("s0", 10)}})
-	f.TakeView(v, Everything, start)
+	f.ApplyView(v, FullScope, start)
 	s := f.servers["s0"]
 	if s == old || s.Leaving || s.underWay() != 0 || s.others.requests != 0 || start.Before(s.ColdUntil) || f.usable(s, start) != "" {
 		t.Errorf("the state of the new incarnation is %+v", s)
 	}
-	for _, h := range f.holders.Of(holders.Key("chain")) {
+	for _, h := range f.holders.Holders(holders.Key("chain")) {
 		if f.serversByKey[h.Server] != nil {
 			t.Error("a holder entry of the earlier incarnation leads to the new one")
 		}
 	}
-	f.TakeView(restartedView(10), Everything, start) // a late view
+	f.ApplyView(restartedView(10), FullScope, start) // a late view
 	if f.servers["s0"] != s {
 		t.Error("a late view restored the earlier incarnation")
 	}
@@ -53,17 +53,17 @@
 // as lost at once, and that its end does not change the state of the new process.
 func TestRestartLosesRequestsUnderWay(t *testing.T) {
 	f := newTestFleet(1)
-	f.TakeView(restartedView(10), Everything, start)
+	f.ApplyView(restartedView(10), FullScope, start)
 	c := f.Choose(shortJob(), start)
 	f.Started(&c, start)
 	if f.Lost(&c, start) || f.Replaced(&c) {
 		t.Fatal("lost while its server is well")
 	}
-	f.TakeView(restartedView(20), Everything, start)
+	f.ApplyView(restartedView(20), FullScope, start)
 	if !f.Lost(&c, start) || !f.Replaced(&c) {
 		t.Error("not lost though another process runs under the ID")
 	}
-	f.Ended(&c, Broke, 0, start)
+	f.Ended(&c, ConnectionFailed, 0, start)
 	if s := f.servers["s0"]; s == nil || s.underWay() != 0 || f.usable(s, start) != "" {
 		t.Errorf("the end of the lost attempt changed the new incarnation: %+v", s)
 	}
@@ -73,13 +73,13 @@
 // again, and that the next one is.
 func TestGoneServerMayReturnAsNewIncarnation(t *testing.T) {
 	f := newTestFleet(1)
-	f.TakeView(restartedView(10), Everything, start)
+	f.ApplyView(restartedView(10), FullScope, start)
 	f.MarkGone("s0", 10, start)
-	f.TakeView(restartedView(10), Everything, start)
+	f.ApplyView(restartedView(10), FullScope, start)
 	if f.servers["s0"] != nil {
 		t.Error("an incarnation that left is used again")
 	}
-	f.TakeView(restartedView(20), Everything, start)
+	f.ApplyView(restartedView(20), FullScope, start)
 	if f.servers["s0"] == nil {
 		t.Error("the next incarnation is not used")
 	}
--- a/internal/core/holders/holders.go
+++ b/internal/core/holders/holders.go
@@ -64,8 +64,8 @@
 // host of another failure domain forwarded them.
 func (l *Log) Add(origin string, places []Place) { l.add(places, entry{origin: origin}) }
 
-// AddOfDomain appends places that another control host of this failure domain forwarded.
-func (l *Log) AddOfDomain(places []Place) { l.add(places, entry{sameDomain: true}) }
+// AddFromDomain appends places that another control host of this failure domain forwarded.
+func (l *Log) AddFromDomain(places []Place) { l.add(places, entry{sameDomain: true}) }
 
 func (l *Log) add(places []Place, e entry) {
 	for _, p := range places {
@@ -78,9 +78,9 @@
 	}
 }
 
-// For returns the places from a position on that the entry host did not report itself, and the
+// ForHost returns the places from a position on that the entry host did not report itself, and the
 // position for the next call.
-func (l *Log) For(host string, from uint64) ([]Place, uint64) {
+func (l *Log) ForHost(host string, from uint64) ([]Place, uint64) {
 	return l.filterFrom(from, func(e entry) bool { return e.origin != host })
 }
 
@@ -99,15 +99,15 @@
 	return out
 }
 
-// Direct returns the places from a position on that entry hosts reported to this control host,
+// FromEntryHosts returns the places from a position on that entry hosts reported to this control host,
 // for forwarding to other control hosts, and the position for the next call.
-func (l *Log) Direct(from uint64) ([]Place, uint64) {
+func (l *Log) FromEntryHosts(from uint64) ([]Place, uint64) {
 	return l.filterFrom(from, func(e entry) bool { return e.origin != "" })
 }
 
-// OfDomain returns the places from a position on that entry hosts reported to this control host or
+// FromDomain returns the places from a position on that entry hosts reported to this control host or
 // to another one of its failure domain, and the position for the next call.
-func (l *Log) OfDomain(from uint64) ([]Place, uint64) {
+func (l *Log) FromDomain(from uint64) ([]Place, uint64) {
 	return l.filterFrom(from, func(e entry) bool { return e.origin != "" || e.sameDomain })
 }
 
@@ -144,8 +144,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{map[uint32][]Holder{}} }
 
-// Note records that a prompt with the chain was sent to the server.
-func (t *Table) Note(p Place, now time.Time) {
+// Record records that a prompt with the chain was sent to the server.
+func (t *Table) Record(p Place, now time.Time) {
 	list := t.chains[p.Chain]
 	for i, h := range list {
 		if h.Server == p.Server {
@@ -160,11 +160,11 @@
 	t.chains[p.Chain] = list
 }
 
-// Of returns the chain's holders, the most recently used last.
-func (t *Table) Of(chain uint32) []Holder { return t.chains[chain] }
+// Holders returns the chain's holders, the most recently used last.
+func (t *Table) Holders(chain uint32) []Holder { return t.chains[chain] }
 
-// Forget deletes chains that have not been used within holderTTL.
-func (t *Table) Forget(now time.Time) {
+// Expire deletes chains that have not been used within holderTTL.
+func (t *Table) Expire(now time.Time) {
 	for chain, list := range t.chains {
 		if now.Sub(list[len(list)-1].Used) > holderTTL {
 			delete(t.chains, chain)
--- a/internal/core/holders/holders_test.go
+++ b/internal/core/holders/holders_test.go
@@ -21,14 +21,14 @@
 	l.Add("a", places(2, 10))
 	l.Add("b", places(1, 20))
 	l.Add("", places(1, 30))
-	got, next := l.For("a", 0)
+	got, next := l.ForHost("a", 0)
 	if !slices.Equal(got, append(places(1, 20), places(1, 30)...)) {
 		t.Errorf("places for host a: %v", got)
 	}
-	if again, _ := l.For("a", next); len(again) != 0 {
+	if again, _ := l.ForHost("a", next); len(again) != 0 {
 		t.Errorf("places for host a a second time: %v", again)
 	}
-	if direct, _ := l.Direct(0); !slices.Equal(direct, append(places(2, 10), places(1, 20)...)) {
+	if direct, _ := l.FromEntryHosts(0); !slices.Equal(direct, append(places(2, 10), places(1, 20)...)) {
 		t.Errorf("places for control hosts: %v", direct)
 	}
 }
@@ -37,11 +37,11 @@
 func TestLogIsBounded(t *testing.T) {
 	var l Log
 	l.Add("a", places(maxLogEntries+100, 0))
-	got, next := l.For("b", 5)
+	got, next := l.ForHost("b", 5)
 	if len(got) != maxLogEntries || got[0].Chain != 100 || next != maxLogEntries+100 {
 		t.Errorf("%d places from %d, next %d", len(got), got[0].Chain, next)
 	}
-	if got, _ := l.For("b", next+999); len(got) != maxLogEntries {
+	if got, _ := l.ForHost("b", next+999); len(got) != maxLogEntries {
 		t.Errorf("a position of another process gives %d places", len(got))
 	}
 }
@@ -49,19 +49,19 @@
 func TestTableKeepsTheNewestHolders(t *testing.T) {
 	table, t0 := NewTable(), time.Unix(100, 0)
 	for i := range maxHoldersPerChain + 2 {
-		table.Note(Place{1, uint32(i)}, t0.Add(time.Duration(i)*time.Second))
+		table.Record(Place{1, uint32(i)}, t0.Add(time.Duration(i)*time.Second))
 	}
-	table.Note(Place{1, 3}, t0.Add(time.Minute))
-	list := table.Of(1)
+	table.Record(Place{1, 3}, t0.Add(time.Minute))
+	list := table.Holders(1)
 	if len(list) != maxHoldersPerChain || list[0].Server != 2 || list[maxHoldersPerChain-1].Server != 3 {
 		t.Errorf("holders %v", list)
 	}
-	table.Forget(t0.Add(time.Minute + holderTTL))
-	if len(table.Of(1)) == 0 {
+	table.Expire(t0.Add(time.Minute + holderTTL))
+	if len(table.Holders(1)) == 0 {
 		t.Error("a chain in use was dropped")
 	}
-	table.Forget(t0.Add(2 * time.Minute))
-	if len(table.Of(1)) != 0 {
+	table.Expire(t0.Add(2 * time.Minute))
+	if len(table.Holders(1)) != 0 {
 		t.Error("an expired chain was kept")
 	}
 }
--- a/internal/core/ledger/bench_test.go
+++ b/internal/core/ledger/bench_test.go
@@ -78,7 +78,7 @@
 	claim := &Op{Kind: OpClaim, Key: key, Attempt: attempt, Owner: "h0/1", Digest: make([]byte, 32), IssuedMS: now, RetentionMS: 900_000, NowMS: now}
 	m1, b1 := runOp(rs, claim, claim.Start("p", []string{"h0", "h1", "h2", "h3", "h4"}), now)
 	finish := &Op{Kind: OpFinish, Key: key, Attempt: attempt, Answer: &pb.LedgerAnswer{Status: 200, Body: make([]byte, 200)}, RetentionMS: 900_000, NowMS: now}
-	m2, b2 := runOp(rs, finish, finish.Follow(claim), now)
+	m2, b2 := runOp(rs, finish, finish.StartAfterClaim(claim), now)
 	return m1 + m2, b1 + b2
 }
 
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -302,7 +302,7 @@
 	w.net, w.ops = nil, map[string]*Op{}
 	finish := &Op{Kind: OpFinish, Key: testKey, Attempt: claim.Attempt, Answer: &pb.LedgerAnswer{Status: 200, Body: make([]byte, 150)}, RetentionMS: 1000, NowMS: w.now}
 	w.ops["p"] = finish
-	w.net = append(w.net, finish.Follow(claim)...)
+	w.net = append(w.net, finish.StartAfterClaim(claim)...)
 	w.deliverAll(func(*pb.LedgerMessage) bool { return true })
 	w.restartAndRecover("h0", func(*pb.LedgerMessage) bool { return true })
 	for id, r := range w.replicas {
--- a/internal/core/ledger/op.go
+++ b/internal/core/ledger/op.go
@@ -70,10 +70,10 @@
 	return o.Retry()
 }
 
-// Follow begins the operation directly after a successful claim by the same
+// StartAfterClaim begins the operation directly after a successful claim by the same
 // proposer. The claim's accepts also promised the next ballot, so its votes serve
 // as this operation's promises and the first phase is skipped.
-func (o *Op) Follow(claim *Op) []*pb.LedgerMessage {
+func (o *Op) StartAfterClaim(claim *Op) []*pb.LedgerMessage {
 	o.proposer, o.members, o.highest = claim.proposer, claim.members, claim.highest+1
 	o.ballot = nextBallot(claim.ballot)
 	o.Value, o.generation = claim.Value, claim.generation
--- a/internal/core/ledger/simulation_test.go
+++ b/internal/core/ledger/simulation_test.go
@@ -184,7 +184,7 @@
 	if w.rnd.Float64() < 0.5 {
 		if w.rnd.Float64() < 0.7 && !w.disabled.majority {
 			w.ops[proposer] = next
-			w.net = append(w.net, next.Follow(op)...)
+			w.net = append(w.net, next.StartAfterClaim(op)...)
 			return
 		}
 		w.ops[proposer+"'"] = next
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -102,10 +102,10 @@
 // maxSuspectProbes is the maximum number of suspects probed again in one interval.
 const maxSuspectProbes = 3
 
-// Targets returns the hosts to probe in this interval: the next of the round,
+// ProbeTargets returns the hosts to probe in this interval: the next of the round,
 // and up to maxSuspectProbes suspects. The probe of a suspect carries the
 // suspicion, so that the suspect can refute it before it is declared dead.
-func (l *List) Targets() []string {
+func (l *List) ProbeTargets() []string {
 	var out []string
 	if next := l.nextTarget(); next != "" {
 		out = append(out, next)
@@ -139,9 +139,9 @@
 	return id
 }
 
-// Helpers returns up to n random live hosts other than target that can send it
+// IndirectProbers returns up to n random live hosts other than target that can send it
 // indirect probes.
-func (l *List) Helpers(target string, n int) []string {
+func (l *List) IndirectProbers(target string, n int) []string {
 	var ids []string
 	for id, m := range l.members {
 		if id != target && m.State == Alive {
@@ -153,10 +153,10 @@
 	return ids[:min(n, len(ids))]
 }
 
-// Acked records that a message was received from a host, and the host's incarnation
+// RecordContact records that a message was received from a host, and the host's incarnation
 // number. A host that was declared dead in this incarnation stays dead until it
 // refutes with a higher one.
-func (l *List) Acked(id string, incarnation uint64, draining bool, now time.Time) {
+func (l *List) RecordContact(id string, incarnation uint64, draining bool, now time.Time) {
 	m := l.members[id]
 	if m == nil {
 		return
@@ -173,8 +173,8 @@
 	}
 }
 
-// Failed records that a host answered neither the direct nor the indirect probes.
-func (l *List) Failed(id string, now time.Time) {
+// RecordProbeFailure records that a host answered neither the direct nor the indirect probes.
+func (l *List) RecordProbeFailure(id string, now time.Time) {
 	if m := l.members[id]; m != nil && m.State == Alive {
 		l.change(m, Suspect, now)
 	}
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -53,12 +53,12 @@
 	}
 	la, lb := g.lists[a], g.lists[b]
 	lb.Merge(la.Updates(b), g.now)
-	lb.Acked(a, la.Incarnation(), false, g.now)
+	lb.RecordContact(a, la.Incarnation(), false, g.now)
 	if !g.reaches(b, a) {
 		return false
 	}
 	la.Merge(lb.Updates(a), g.now)
-	la.Acked(b, lb.Incarnation(), false, g.now)
+	la.RecordContact(b, lb.Incarnation(), false, g.now)
 	return true
 }
 
@@ -69,7 +69,7 @@
 		if g.down[id] {
 			continue
 		}
-		for _, target := range l.Targets() {
+		for _, target := range l.ProbeTargets() {
 			g.probe(id, target)
 		}
 		l.Tick(g.now)
@@ -81,12 +81,12 @@
 	l := g.lists[id]
 	ok := g.exchange(id, target)
 	if !ok {
-		for _, h := range l.Helpers(target, 2) {
+		for _, h := range l.IndirectProbers(target, 2) {
 			ok = g.reaches(id, h) && g.exchange(h, target) && g.reaches(h, id) || ok
 		}
 	}
 	if !ok {
-		l.Failed(target, g.now)
+		l.RecordProbeFailure(target, g.now)
 	}
 }
 
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -22,20 +22,20 @@
 
 // Job holds the properties of a request that placement needs.
 type Job struct {
-	Team      string
-	Weight    float64
-	Priority  int
-	Kind      string // backend.KindEngine or backend.KindService
-	Target    string // model or service
-	Prefixes  []uint64
-	Tokens    float64 // of the prompt
-	MaxTokens float64
-	Deadline  time.Time
-	Permitted []string        // regions that the residency rules permit
-	Forwarded bool            // came from another entry host: only own servers may run it
-	Avoid     map[string]bool // failed servers and failure domains, by ID or name
-	Ends      int             // number of servers whose process ended while they ran the request
-	Policy    configstate.Policy
+	Team          string
+	Weight        float64
+	Priority      int
+	Kind          string // backend.KindEngine or backend.KindService
+	Target        string // model or service
+	Prefixes      []uint64
+	Tokens        float64 // of the prompt
+	MaxTokens     float64
+	Deadline      time.Time
+	Permitted     []string        // regions that the residency rules permit
+	Forwarded     bool            // came from another entry host: only own servers may run it
+	Avoid         map[string]bool // failed servers and failure domains, by ID or name
+	ServerCrashes int             // number of servers whose process ended while they ran the request
+	Policy        configstate.Policy
 }
 
 // Cost returns the weight of a job in the teams' fair shares: about 1 for a job of ordinary size.
@@ -171,15 +171,15 @@
 // after its deadline.
 func (s *State) Acquire(j *Job, now time.Time) (p *Place, w *admission.Waiter, d routing.Decision, err error) {
 	d = s.decide(j, now)
-	if d.Kind == routing.Nowhere && !s.hasCandidate(j, now) {
+	if d.Kind == routing.NoTarget && !s.hasCandidate(j, now) {
 		return nil, nil, d, failure.New(failure.NoServer, failure.NotRun, "no reachable backend server serves %q", j.Target).
 			WithRetryAfter(noServerRetryAfter)
 	}
 	if tooLate(j, d, now) {
 		return nil, nil, d, lateError(j, d, now)
 	}
-	if d.Kind != routing.Nowhere && s.queue.Len() == 0 {
-		s.queue.Passed(j.targetName(), now)
+	if d.Kind != routing.NoTarget && s.queue.Len() == 0 {
+		s.queue.RecordImmediate(j.targetName(), now)
 		return s.reserve(j, d, now), nil, d, nil
 	}
 	w = &admission.Waiter{
@@ -219,7 +219,7 @@
 		var d routing.Decision
 		w := s.queue.Next(now, func(w *admission.Waiter) bool {
 			d = s.decide(s.waiting[w], now)
-			return d.Kind != routing.Nowhere
+			return d.Kind != routing.NoTarget
 		})
 		if w == nil {
 			break
@@ -227,7 +227,7 @@
 		j := s.waiting[w]
 		delete(s.waiting, w)
 		// The decision was made for the first job of the target; another job may get another one.
-		if d = s.decide(j, now); d.Kind == routing.Nowhere {
+		if d = s.decide(j, now); d.Kind == routing.NoTarget {
 			err := failure.New(failure.NoServer, failure.NotRun, "no permitted backend server or failure domain can take this request").WithRetryAfter(noServerRetryAfter)
 			out = append(out, Grant{Waiter: w, Err: err})
 			continue
@@ -244,7 +244,7 @@
 // tooLate reports whether the first token is expected after the deadline. Such work is not started,
 // because it would take capacity from requests that can still meet theirs.
 func tooLate(j *Job, d routing.Decision, now time.Time) bool {
-	if d.Kind == routing.Nowhere || j.Deadline.IsZero() {
+	if d.Kind == routing.NoTarget || j.Deadline.IsZero() {
 		return false
 	}
 	return now.Add(time.Duration(d.EstimateMS * float64(time.Millisecond))).After(j.Deadline)
@@ -271,7 +271,7 @@
 		PriceMS: j.Policy.SendAwayPriceMS, Margin: j.Policy.SendAwayMargin, Ceiling: j.Policy.SendAwayCeiling,
 		CacheWeight: j.Policy.CacheWeight, QueuePerSlot: j.Policy.MaxQueuePerSlot,
 	}
-	q := routing.Query{Prefixes: j.Prefixes, PromptTokens: j.Tokens, Away: j.Forwarded, Suspicion: quarantine.Suspicion(j.Ends)}
+	q := routing.Query{Prefixes: j.Prefixes, PromptTokens: j.Tokens, Forwarded: j.Forwarded, CrashProbability: quarantine.CrashProbability(j.ServerCrashes)}
 	return routing.Choose(q, s.localServers(j, now), s.remoteDomains(j, now), w, s.share.value(now), s.o.Random)
 }
 
@@ -317,7 +317,7 @@
 			FailureDomain: r.Summary.FailureDomain, Region: r.Summary.Region, OtherRegion: r.Summary.Region != s.o.Region,
 			Slots: float64(m.Slots), Outstanding: float64(m.Running), ServiceMS: float64(m.ServiceMs),
 			WaitMS: float64(m.WaitMs) + j.Tokens/assumedPrefillRate*1000, Age: now.Sub(r.At),
-			NetworkMS: float64(r.Latency.Microseconds()) / 1000, Sent: max(0, r.inflight[j.targetName()]-r.inflightAtSummary[j.targetName()]),
+			NetworkMS: float64(r.Latency.Microseconds()) / 1000, InFlight: max(0, r.inflight[j.targetName()]-r.inflightAtSummary[j.targetName()]),
 			Senders: s.senders, Sticky: now.Sub(r.lastSent[j.targetName()]) < stickyPeriod,
 		})
 	}
@@ -355,7 +355,7 @@
 // reserve books the place that the decision selects, and returns it.
 func (s *State) reserve(j *Job, d routing.Decision, now time.Time) *Place {
 	p := &Place{Decision: d, Started: now}
-	s.share.add(d.Kind == routing.Forward && d.Away, now)
+	s.share.add(d.Kind == routing.Forward && d.OtherRegion, now)
 	if d.Kind == routing.Local {
 		srv := s.Table.Get(d.Server)
 		s.Table.Started(srv, j.Prefixes, now)
--- a/internal/core/quarantine/bench_test.go
+++ b/internal/core/quarantine/bench_test.go
@@ -28,7 +28,7 @@
 		f[n] = request(n)
 	}
 	for n := 0; b.Loop(); n++ {
-		t.Served(f[n%len(f)], start)
+		t.RecordAnswer(f[n%len(f)], start)
 	}
 }
 
@@ -44,9 +44,9 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	records, _ := t.Since(0, 1, All, start)
+	records, _ := t.Since(0, 1, AllRecords, start)
 	for b.Loop() {
-		t.Since(t.Revision(), 1, All, start)
+		t.Since(t.Revision(), 1, AllRecords, start)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(t.Len()), "B/request")
 	b.ReportMetric(float64(proto.Size(records[0])), "B/message")
--- a/internal/core/quarantine/bound_test.go
+++ b/internal/core/quarantine/bound_test.go
@@ -46,9 +46,9 @@
 		m.sentRevision[host], m.receivedRevision[host] = 0, 0
 	}
 	var records []*pb.QuarantineRecord
-	records, m.sentRevision[host] = m.tables[host].Since(m.sentRevision[host], 100, Own, m.now(step))
+	records, m.sentRevision[host] = m.tables[host].Since(m.sentRevision[host], 100, LocalChanges, m.now(step))
 	m.control.Merge(records, m.now(step))
-	records, m.receivedRevision[host] = m.control.Since(m.receivedRevision[host], 100, Decisive, m.now(step))
+	records, m.receivedRevision[host] = m.control.Since(m.receivedRevision[host], 100, NeededByEntryHosts, m.now(step))
 	m.tables[host].Merge(records, m.now(step))
 }
 
@@ -95,18 +95,18 @@
 	for _, r := range m.running[step] {
 		m.nextServer++
 		m.crashSteps = append(m.crashSteps, step)
-		m.tables[r.host].Ended(Evidence{Fingerprint: f, Server: m.nextServer, Service: "llm"}, m.now(step))
+		m.tables[r.host].RecordCrash(Evidence{Fingerprint: f, Server: m.nextServer, Service: "llm"}, m.now(step))
 		m.tables[r.host].Finish(f, r.before)
 	}
 }
 
 func (m *boundModel) check(t *rapid.T) {
-	if len(m.crashSteps) < Crashes {
+	if len(m.crashSteps) < CrashThreshold {
 		return
 	}
 	late := 0
 	for _, step := range m.runSteps {
-		if step > m.crashSteps[Crashes-1]+windowSteps {
+		if step > m.crashSteps[CrashThreshold-1]+windowSteps {
 			late++
 		}
 	}
--- a/internal/core/quarantine/breaks.go
+++ b/internal/core/quarantine/breaks.go
@@ -7,34 +7,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Start identifies one process of a backend server. Processes that run under the
+// ServerProcess identifies one process of a backend server. Processes that run under the
 // same server ID differ in Born.
-type Start struct {
-	ID   string
-	Born int64
+type ServerProcess struct {
+	ID      string
+	StartID int64
 }
 
 // Key returns the hash that identifies the process in evidence and peer messages.
-func (s Start) Key() uint64 { return xxhash.Sum64String(s.ID + "\x00" + strconv.FormatInt(s.Born, 10)) }
+func (s ServerProcess) Key() uint64 {
+	return xxhash.Sum64String(s.ID + "\x00" + strconv.FormatInt(s.StartID, 10))
+}
 
 // proofTimeout is how long a break is tracked. A server that crashed is replaced within that time
 // or not at all, so no proof is expected later.
 const proofTimeout = 15 * time.Second
 
-// Break identifies a server process that broke the connections of requests in progress.
-type Break struct {
-	Start   Start
+// ConnectionBreak identifies a server process that broke the connections of requests in progress.
+type ConnectionBreak struct {
+	Start   ServerProcess
 	Address string
 }
 
 type trackedBreak struct {
-	Break
+	ConnectionBreak
 	at       time.Time  // when the first request's connection broke
 	proved   bool       // the process is proved to have ended
 	evidence []Evidence // recorded until then
 }
 
-// Breaks holds the server processes that broke the connections of requests until it is
+// CrashDetector holds the server processes that broke the connections of requests until it is
 // established whether they ended. A broken connection alone proves nothing, as it may have
 // been reset or the network may have failed. There are two proofs: that no process listens at
 // the address, and that another process announced itself under the same ID or at the same
@@ -43,8 +45,8 @@
 // A false proof counts against the requests that were in progress at the server, which matters
 // only if three are false for the same request. A missing proof lets a request crash one more
 // server before it is quarantined.
-type Breaks struct {
-	byStart map[Start]*trackedBreak
+type CrashDetector struct {
+	byStart map[ServerProcess]*trackedBreak
 	// aliveAfter is the delay after a break from which an announcement shows that the process
 	// is alive. Earlier ones may have been sent before it ended.
 	aliveAfter time.Duration
@@ -53,18 +55,18 @@
 // maxAnnouncementsInFlight is how many announcements of a server may arrive after its process ended.
 const maxAnnouncementsInFlight = 3
 
-// NewBreaks returns an empty set for servers that announce themselves at the given interval.
-func NewBreaks(announceEvery time.Duration) *Breaks {
-	return &Breaks{byStart: map[Start]*trackedBreak{}, aliveAfter: maxAnnouncementsInFlight * announceEvery}
+// NewCrashDetector returns an empty set for servers that announce themselves at the given interval.
+func NewCrashDetector(announceEvery time.Duration) *CrashDetector {
+	return &CrashDetector{byStart: map[ServerProcess]*trackedBreak{}, aliveAfter: maxAnnouncementsInFlight * announceEvery}
 }
 
 // Add records that a server broke the connection of a request. It reports whether the server's
 // process is already proved to have ended; the evidence is then not kept, and the caller counts
 // it at once.
-func (b *Breaks) Add(x Break, e Evidence, now time.Time) (proved bool) {
+func (b *CrashDetector) Add(x ConnectionBreak, e Evidence, now time.Time) (proved bool) {
 	o := b.byStart[x.Start]
 	if o == nil {
-		o = &trackedBreak{Break: x, at: now}
+		o = &trackedBreak{ConnectionBreak: x, at: now}
 		b.byStart[x.Start] = o
 	}
 	if !o.proved {
@@ -74,14 +76,14 @@
 }
 
 // Len returns the number of server processes recorded, proved to have ended or not.
-func (b *Breaks) Len() int { return len(b.byStart) }
+func (b *CrashDetector) Len() int { return len(b.byStart) }
 
-// Refused records that the server's address refused a connection, so that no process listens
+// ConnectionRefused records that the server's address refused a connection, so that no process listens
 // there. It returns the evidence that this proves.
-func (b *Breaks) Refused(s Start) []Evidence { return b.prove(b.byStart[s]) }
+func (b *CrashDetector) ConnectionRefused(s ServerProcess) []Evidence { return b.prove(b.byStart[s]) }
 
 // prove marks the process as ended and returns its evidence, once.
-func (b *Breaks) prove(o *trackedBreak) []Evidence {
+func (b *CrashDetector) prove(o *trackedBreak) []Evidence {
 	if o == nil || o.proved {
 		return nil
 	}
@@ -90,23 +92,23 @@
 	return out
 }
 
-// Sighting is a server process as described by its last announcement.
-type Sighting struct {
-	Start   Start
-	Address string
-	HeardAt time.Time
+// Announcement is a server process as described by its last announcement.
+type Announcement struct {
+	Start      ServerProcess
+	Address    string
+	ReceivedAt time.Time
 }
 
-// Heard compares the breaks with the last announcements of the servers. It returns the evidence
+// ObserveAnnouncements compares the breaks with the last announcements of the servers. It returns the evidence
 // that they prove, and the keys of processes that were proved to have ended but are alive.
-func (b *Breaks) Heard(servers []Sighting, now time.Time) (proved []Evidence, alive []uint64) {
+func (b *CrashDetector) ObserveAnnouncements(servers []Announcement, now time.Time) (proved []Evidence, alive []uint64) {
 	if len(b.byStart) == 0 {
 		return nil, nil
 	}
 	for start, o := range b.byStart {
 		for _, s := range servers {
 			switch {
-			case s.Start == start && s.HeardAt.After(o.at.Add(b.aliveAfter)):
+			case s.Start == start && s.ReceivedAt.After(o.at.Add(b.aliveAfter)):
 				if o.proved {
 					alive = append(alive, start.Key())
 				}
--- a/internal/core/quarantine/exchange.go
+++ b/internal/core/quarantine/exchange.go
@@ -36,7 +36,7 @@
 		if r := t.get(f); r.crashCount() > 0 && t.answers.contains(f, now) {
 			t.clear(r, now) // a received crash is no answer, so it does not extend answerValidity
 		}
-		if after := t.Judge(f, now); after.Verdict != before.Verdict || after.Ends != before.Ends {
+		if after := t.Judge(f, now); after.Verdict != before.Verdict || after.ServerCrashes != before.ServerCrashes {
 			r := t.get(f)
 			out = append(out, Change{f, before, after, r.team, r.service, r.release})
 		}
@@ -87,25 +87,27 @@
 	return out
 }
 
-// Wanted reports whether a record is to be sent to a host that has been sent this table's
+// RecordFilter reports whether a record is to be sent to a host that has been sent this table's
 // changes up to sentRevision.
-type Wanted func(r *record, sentRevision uint64) bool
+type RecordFilter func(r *record, sentRevision uint64) bool
 
-// Own selects records that changed by this host's own observations since sentRevision,
+// LocalChanges selects records that changed by this host's own observations since sentRevision,
 // whether or not received records changed them too.
-func Own(r *record, sentRevision uint64) bool { return r.localRevision > sentRevision }
+func LocalChanges(r *record, sentRevision uint64) bool { return r.localRevision > sentRevision }
 
-// All selects every record.
-func All(*record, uint64) bool { return true }
+// AllRecords selects every record.
+func AllRecords(*record, uint64) bool { return true }
 
-// Decisive selects the records that other entry hosts need: those that were cleared, and those
+// NeededByEntryHosts selects the records that other entry hosts need: those that were cleared, and those
 // from one crash below the threshold on. With fewer crashes only the observing host treats the
 // request differently.
-func Decisive(r *record, _ uint64) bool { return r.cleared > 0 || r.crashCount() >= Crashes-1 }
+func NeededByEntryHosts(r *record, _ uint64) bool {
+	return r.cleared > 0 || r.crashCount() >= CrashThreshold-1
+}
 
 // Since returns at most limit wanted records that changed after a revision, in the order of their
 // last change, and the revision to continue from.
-func (t *Table) Since(revision uint64, limit int, wanted Wanted, now time.Time) (out []*pb.QuarantineRecord, next uint64) {
+func (t *Table) Since(revision uint64, limit int, wanted RecordFilter, now time.Time) (out []*pb.QuarantineRecord, next uint64) {
 	if revision > t.revision {
 		revision = 0 // the revision belongs to an earlier process
 	}
@@ -169,8 +171,8 @@
 	var out []Entry
 	for e := t.order.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*record)
-		if j := t.judge(r, now); j.Ends > 1 {
-			out = append(out, Entry{r.fingerprint, j.Verdict, r.team, r.service, r.release, j.Ends, j.Last, r.cleared})
+		if j := t.judge(r, now); j.ServerCrashes > 1 {
+			out = append(out, Entry{r.fingerprint, j.Verdict, r.team, r.service, r.release, j.ServerCrashes, j.LastCrash, r.cleared})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Entry) int { return b.LastCrash.Compare(a.LastCrash) })
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -21,18 +21,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Crashes is the number of server processes that must crash while running a request before it
+// CrashThreshold is the number of server processes that must crash while running a request before it
 // is refused. One or two may crash for other reasons during a request and its repeats.
-const Crashes = 3
+const CrashThreshold = 3
 
 // singleCrashSuspicion is the probability that a request caused the one crash recorded for it:
 // about thirty requests are in progress at a server.
 const singleCrashSuspicion = 1.0 / 30
 
-// Suspicion returns the probability that a request crashes the server that runs it, given the
+// CrashProbability returns the probability that a request crashes the server that runs it, given the
 // number of crashes recorded for it. After two it is taken as certain, since no other request
 // was in progress at both servers.
-func Suspicion(ends int) float64 {
+func CrashProbability(ends int) float64 {
 	switch ends {
 	case 0:
 		return 0
@@ -44,7 +44,7 @@
 
 // maxCrashes bounds the crashes kept for a fingerprint: those that quarantine it and one for
 // each of three trials. With that many there is no further trial.
-const maxCrashes = Crashes + 3
+const maxCrashes = CrashThreshold + 3
 
 // Retention times and delays.
 const (
@@ -99,10 +99,10 @@
 // Judgement is a verdict with the evidence it is based on.
 type Judgement struct {
 	Verdict Verdict
-	// Ends is the number of server processes that crashed while running the request.
-	Ends int
-	// Last is when the last of these crashes was recorded.
-	Last time.Time
+	// ServerCrashes is the number of server processes that crashed while running the request.
+	ServerCrashes int
+	// LastCrash is when the last of these crashes was recorded.
+	LastCrash time.Time
 }
 
 // crash records that a server process ended while it ran the request.
@@ -185,7 +185,7 @@
 
 // Finish records that the attempt with the judgement that Begin returned has ended.
 func (t *Table) Finish(f Fingerprint, j Judgement) {
-	if r := t.get(f); r != nil && r.running > 0 && (j.Verdict == Trial || j.Ends == Crashes-1) && j.Verdict != Busy {
+	if r := t.get(f); r != nil && r.running > 0 && (j.Verdict == Trial || j.ServerCrashes == CrashThreshold-1) && j.Verdict != Busy {
 		r.running--
 	}
 }
@@ -193,7 +193,7 @@
 // mustRunAlone reports whether the request may have only one attempt in progress on this host,
 // because one more crash would quarantine it or prolong its quarantine.
 func (r *record) mustRunAlone(v Verdict) bool {
-	return v == Trial || (v == Suspect && r.crashCount() == Crashes-1)
+	return v == Trial || (v == Suspect && r.crashCount() == CrashThreshold-1)
 }
 
 // Judge returns the request's current judgement without starting an attempt.
@@ -205,11 +205,11 @@
 }
 
 func (t *Table) judge(r *record, now time.Time) Judgement {
-	j := Judgement{Ends: r.crashCount(), Last: r.lastCrashAt()}
+	j := Judgement{ServerCrashes: r.crashCount(), LastCrash: r.lastCrashAt()}
 	switch {
-	case j.Ends == 0 || (j.Ends < Crashes && now.Sub(j.Last) > suspectRetention):
+	case j.ServerCrashes == 0 || (j.ServerCrashes < CrashThreshold && now.Sub(j.LastCrash) > suspectRetention):
 		return Judgement{}
-	case j.Ends < Crashes:
+	case j.ServerCrashes < CrashThreshold:
 		j.Verdict = Suspect
 	case now.Sub(r.thresholdReachedAt()) < confirmationDelay:
 		j.Verdict = Busy
@@ -230,7 +230,7 @@
 	if crashes >= maxCrashes {
 		return false
 	}
-	due := r.lastCrashAt().Add(t.o.Hold << (crashes - Crashes))
+	due := r.lastCrashAt().Add(t.o.Hold << (crashes - CrashThreshold))
 	if !r.replacedAt.IsZero() && r.replacedAt.Before(due) {
 		due = r.replacedAt
 	}
@@ -260,7 +260,7 @@
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	return times[Crashes-1]
+	return times[CrashThreshold-1]
 }
 
 // lastCrashAt returns when the last counted crash was recorded; zero for none.
@@ -284,11 +284,11 @@
 	Team, Service, Release string
 }
 
-// Ended records evidence and returns the resulting judgement. It reports in counted whether the
+// RecordCrash records evidence and returns the resulting judgement. It reports in counted whether the
 // evidence added a crash. Evidence against a request that was answered within answerValidity is
 // discarded: many callers may send the same request, so it may be in progress at servers whose
 // crash it did not cause.
-func (t *Table) Ended(e Evidence, now time.Time) (j Judgement, counted bool) {
+func (t *Table) RecordCrash(e Evidence, now time.Time) (j Judgement, counted bool) {
 	if t.answers.contains(e.Fingerprint, now) {
 		return t.Judge(e.Fingerprint, now), false
 	}
@@ -296,7 +296,7 @@
 	if r == nil {
 		r = t.add(e.Fingerprint)
 	}
-	if t.judge(r, now).Ends == 0 && len(r.crashes) > 0 {
+	if t.judge(r, now).ServerCrashes == 0 && len(r.crashes) > 0 {
 		r.crashes = nil // the earlier crashes have expired
 		r.cleared++
 	}
@@ -328,9 +328,9 @@
 	return changed
 }
 
-// Served records that a server answered the request completely, so that it does not crash
+// RecordAnswer records that a server answered the request completely, so that it does not crash
 // servers. It reports whether crashes were cleared.
-func (t *Table) Served(f Fingerprint, now time.Time) (cleared bool) {
+func (t *Table) RecordAnswer(f Fingerprint, now time.Time) (cleared bool) {
 	t.answers.add(f, now)
 	r := t.get(f)
 	if r == nil || r.crashCount() == 0 {
@@ -358,9 +358,9 @@
 	t.markChangedLocally(r, now)
 }
 
-// Alive records that a server process announced itself after it was recorded as ended. It returns
+// RecordAlive records that a server process announced itself after it was recorded as ended. It returns
 // the fingerprints against which it no longer counts.
-func (t *Table) Alive(server uint64, now time.Time) []Fingerprint {
+func (t *Table) RecordAlive(server uint64, now time.Time) []Fingerprint {
 	var out []Fingerprint
 	for e := t.order.Front(); e != nil; {
 		r := e.Value.(*record)
@@ -429,13 +429,13 @@
 	delete(t.records, r.fingerprint)
 }
 
-// Forget removes expired records.
-func (t *Table) Forget(now time.Time) {
+// RemoveExpired removes expired records.
+func (t *Table) RemoveExpired(now time.Time) {
 	for e := t.order.Front(); e != nil; {
 		r := e.Value.(*record)
 		e = e.Next()
 		keep := suspectRetention
-		if r.crashCount() >= Crashes {
+		if r.crashCount() >= CrashThreshold {
 			keep = quarantineRetention
 		}
 		if now.Sub(r.changedAt) <= suspectRetention {
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -21,7 +21,7 @@
 }
 
 func (t *Table) crashAt(f Fingerprint, server uint64, now time.Time) Judgement {
-	j, _ := t.Ended(Evidence{Fingerprint: f, Server: server, Team: "team", Service: "llm", Release: "v1"}, now)
+	j, _ := t.RecordCrash(Evidence{Fingerprint: f, Server: server, Team: "team", Service: "llm", Release: "v1"}, now)
 	return j
 }
 
@@ -60,14 +60,14 @@
 		{"two crashes, an answer, one more crash", func(t *Table) {
 			t.crashAt(f, 1, start)
 			t.crashAt(f, 2, start)
-			t.Served(f, start)
+			t.RecordAnswer(f, start)
 			t.crashAt(f, 3, at(time.Minute))
 		}, time.Minute, Suspect},
-		{"three crashes at once within the validity of an answer", func(t *Table) { t.Served(f, at(-5*time.Second)); three(t) }, 0, Clear},
-		{"three crashes long after an answer", func(t *Table) { t.Served(f, at(-time.Minute)); three(t) }, confirmationDelay, Quarantined},
-		{"three crashes, then an answer", func(t *Table) { three(t); t.Served(f, start) }, 0, Clear},
-		{"three crashes, one process announced itself later", func(t *Table) { three(t); t.Alive(2, start) }, 0, Suspect},
-		{"crash of a process that had announced itself later", func(t *Table) { three(t); t.Alive(2, start); t.crashAt(f, 2, start) }, 0, Suspect},
+		{"three crashes at once within the validity of an answer", func(t *Table) { t.RecordAnswer(f, at(-5*time.Second)); three(t) }, 0, Clear},
+		{"three crashes long after an answer", func(t *Table) { t.RecordAnswer(f, at(-time.Minute)); three(t) }, confirmationDelay, Quarantined},
+		{"three crashes, then an answer", func(t *Table) { three(t); t.RecordAnswer(f, start) }, 0, Clear},
+		{"three crashes, one process announced itself later", func(t *Table) { three(t); t.RecordAlive(2, start) }, 0, Suspect},
+		{"crash of a process that had announced itself later", func(t *Table) { three(t); t.RecordAlive(2, start); t.crashAt(f, 2, start) }, 0, Suspect},
 		{"lifted", func(t *Table) { three(t); t.Lift(f, start) }, 0, Clear},
 		{"two crashes, expired", func(t *Table) { t.crashAt(f, 1, start); t.crashAt(f, 2, start) }, time.Hour, Clear},
 		{"two expired crashes, one new", func(t *Table) { t.crashAt(f, 1, start); t.crashAt(f, 2, start); t.crashAt(f, 3, at(time.Hour)) }, time.Hour, Suspect},
@@ -88,7 +88,7 @@
 		{"trial on another release crashed a server", func(t *Table) {
 			three(t)
 			t.SetReleases("llm", []string{"v2"}, start)
-			t.Ended(Evidence{Fingerprint: f, Server: 9, Service: "llm", Release: "v2"}, at(trialSpacing))
+			t.RecordCrash(Evidence{Fingerprint: f, Server: 9, Service: "llm", Release: "v2"}, at(trialSpacing))
 			t.SetReleases("llm", []string{"v2"}, at(trialSpacing))
 		}, time.Minute, Quarantined},
 	} {
@@ -96,7 +96,7 @@
 			table := newTable("host")
 			c.events(table)
 			if got := table.Begin(f, false, at(c.after)); got.Verdict != c.want {
-				t.Errorf("verdict %s with %d crashes, want %s", got.Verdict, got.Ends, c.want)
+				t.Errorf("verdict %s with %d crashes, want %s", got.Verdict, got.ServerCrashes, c.want)
 			}
 		})
 	}
@@ -123,19 +123,19 @@
 func TestRecentAnswerClearsCrashesOfOtherHost(t *testing.T) {
 	f := request(1)
 	answered, other := newTable("a"), newTable("b")
-	answered.Served(f, start)
+	answered.RecordAnswer(f, start)
 	now := start.Add(4 * time.Second)
 	for s := range uint64(3) {
 		other.crashAt(f, s, now)
 	}
 	now = now.Add(confirmationDelay / 2)
-	records, _ := other.Since(0, 9, Decisive, now)
+	records, _ := other.Since(0, 9, NeededByEntryHosts, now)
 	answered.Merge(records, now)
-	records, _ = answered.Since(0, 9, Own, now)
+	records, _ = answered.Since(0, 9, LocalChanges, now)
 	other.Merge(records, now)
 	for _, table := range []*Table{answered, other} {
 		if got := table.Judge(f, now.Add(confirmationDelay)); got.Verdict != Clear {
-			t.Errorf("verdict %s with %d crashes, want clear", got.Verdict, got.Ends)
+			t.Errorf("verdict %s with %d crashes, want clear", got.Verdict, got.ServerCrashes)
 		}
 	}
 }
@@ -146,20 +146,20 @@
 func TestRecentAnswerExpires(t *testing.T) {
 	f := request(1)
 	answered, other := newTable("a"), newTable("b")
-	answered.Served(f, start)
+	answered.RecordAnswer(f, start)
 	now := start
 	for server := range uint64(10) {
 		now = now.Add(4 * time.Second)
 		other.crashAt(f, server, now)
-		records, _ := other.Since(0, 9, All, now)
+		records, _ := other.Since(0, 9, AllRecords, now)
 		answered.Merge(records, now)
-		records, _ = answered.Since(0, 9, Own, now)
+		records, _ = answered.Since(0, 9, LocalChanges, now)
 		other.Merge(records, now)
 	}
 	now = now.Add(confirmationDelay + time.Second)
 	for _, table := range []*Table{answered, other} {
 		if got := table.Judge(f, now); got.Verdict != Quarantined {
-			t.Errorf("verdict %s with %d crashes, want quarantined", got.Verdict, got.Ends)
+			t.Errorf("verdict %s with %d crashes, want quarantined", got.Verdict, got.ServerCrashes)
 		}
 	}
 }
@@ -215,14 +215,14 @@
 	if got := table.Judge(quarantined, start.Add(confirmationDelay)).Verdict; got != Quarantined {
 		t.Errorf("a quarantined request has verdict %s after a flood of other fingerprints", got)
 	}
-	if got := table.Judge(twice, start).Ends; got != 2 {
+	if got := table.Judge(twice, start).ServerCrashes; got != 2 {
 		t.Errorf("%d crashes are left of two", got)
 	}
-	table.Forget(start.Add(suspectRetention + time.Hour))
+	table.RemoveExpired(start.Add(suspectRetention + time.Hour))
 	if table.Len() != 1 {
 		t.Errorf("table holds %d fingerprints after the suspect retention, want only the quarantined one", table.Len())
 	}
-	table.Forget(start.Add(quarantineRetention + time.Hour))
+	table.RemoveExpired(start.Add(quarantineRetention + time.Hour))
 	if table.Len() != 0 {
 		t.Errorf("table holds %d fingerprints after the quarantine retention, want 0", table.Len())
 	}
@@ -256,15 +256,15 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"a server crashes under the crashing request": func(t *rapid.T) { m.crash(t, crashing) },
 			"a server crashes under the healthy request": func(t *rapid.T) {
-				if len(m.crashes[healthy]) < Crashes-1 {
+				if len(m.crashes[healthy]) < CrashThreshold-1 {
 					m.crash(t, healthy)
 				}
 			},
 			"the healthy request is answered": func(t *rapid.T) {
-				m.table(t).Served(healthy, m.now)
+				m.table(t).RecordAnswer(healthy, m.now)
 			},
 			"message is sent": func(t *rapid.T) {
-				records, _ := m.table(t).Since(0, 100, All, m.now)
+				records, _ := m.table(t).Since(0, 100, AllRecords, m.now)
 				m.inFlight = append(m.inFlight, message{rapid.IntRange(0, 3).Draw(t, "to"), records})
 			},
 			"message arrives": func(t *rapid.T) {
@@ -282,7 +282,7 @@
 			},
 			"": func(t *rapid.T) {
 				for h, table := range m.tables {
-					if v := table.Judge(healthy, m.now); v.Verdict >= Trial || v.Ends >= Crashes {
+					if v := table.Judge(healthy, m.now); v.Verdict >= Trial || v.ServerCrashes >= CrashThreshold {
 						t.Fatalf("host %d refuses a request with %d crashes", h, len(m.crashes[healthy]))
 					}
 				}
@@ -292,7 +292,7 @@
 		m.now = m.now.Add(confirmationDelay + time.Second) // ages are encoded in whole seconds
 		for h, table := range m.tables {
 			refused := table.Judge(crashing, m.now).Verdict == Quarantined
-			if owed := len(m.crashes[crashing]) >= Crashes; refused != owed {
+			if owed := len(m.crashes[crashing]) >= CrashThreshold; refused != owed {
 				t.Fatalf("host %d refuses: %v; the request has %d crashes", h, refused, len(m.crashes[crashing]))
 			}
 		}
@@ -305,7 +305,7 @@
 
 func (m *fleetModel) crash(t *rapid.T, f Fingerprint) {
 	m.nextServer++
-	if _, counted := m.table(t).Ended(Evidence{Fingerprint: f, Server: m.nextServer, Team: "team", Service: "llm"}, m.now); !counted {
+	if _, counted := m.table(t).RecordCrash(Evidence{Fingerprint: f, Server: m.nextServer, Team: "team", Service: "llm"}, m.now); !counted {
 		return
 	}
 	if m.crashes[f] == nil {
@@ -319,13 +319,13 @@
 func (m *fleetModel) exchangeAll() {
 	for _, from := range m.tables {
 		for _, to := range m.tables {
-			records, _ := from.Since(0, 100, All, m.now)
+			records, _ := from.Since(0, 100, AllRecords, m.now)
 			to.Merge(records, m.now)
 		}
 	}
 	for _, from := range m.tables {
 		for _, to := range m.tables {
-			records, _ := from.Since(0, 100, All, m.now)
+			records, _ := from.Since(0, 100, AllRecords, m.now)
 			to.Merge(records, m.now)
 		}
 	}
@@ -339,7 +339,7 @@
 	}
 	read, seen := uint64(0), 0
 	for {
-		records, next := table.Since(read, 3, All, start)
+		records, next := table.Since(read, 3, AllRecords, start)
 		if len(records) == 0 {
 			break
 		}
@@ -350,20 +350,20 @@
 		t.Errorf("%d records read, %d merged, want 10", seen, other.Len())
 	}
 	table.crashAt(request(4), 2, start)
-	records, next := table.Since(read, 3, All, start)
+	records, next := table.Since(read, 3, AllRecords, start)
 	if len(records) != 1 || next != table.Revision() {
 		t.Errorf("%d records after one change, want 1", len(records))
 	}
-	if own, _ := other.Since(0, 100, Own, start); len(own) != 0 {
+	if own, _ := other.Since(0, 100, LocalChanges, start); len(own) != 0 {
 		t.Errorf("%d received records are reported as own, want 0", len(own))
 	}
 	table.crashAt(request(5), 2, start)
 	table.Merge([]*pb.QuarantineRecord{other.get(request(5)).encode(start), {Fingerprint: bytesOf(request(5)), Server: []uint64{9}, AgeS: []uint32{0}}}, start)
-	if own, _ := table.Since(next, 100, Own, start); len(own) != 1 || len(own[0].Server) != 3 {
+	if own, _ := table.Since(next, 100, LocalChanges, start); len(own) != 1 || len(own[0].Server) != 3 {
 		t.Errorf("own crash is not sent after a received record of the same request: %v", own)
 	}
 	table.Lift(request(5), start)
-	if decisive, _ := table.Since(0, 100, Decisive, start); len(decisive) != 2 || decisive[0].Service != "llm" {
+	if decisive, _ := table.Since(0, 100, NeededByEntryHosts, start); len(decisive) != 2 || decisive[0].Service != "llm" {
 		t.Errorf("decisive records: %v", decisive)
 	}
 }
@@ -375,7 +375,7 @@
 	for s, host := range []string{"a", "b", "c"} {
 		table := newTable(host)
 		table.crashAt(request(1), uint64(s), start)
-		records, _ := table.Since(0, 9, Own, start)
+		records, _ := table.Since(0, 9, LocalChanges, start)
 		together.Merge(records, start)
 	}
 	list := together.List(start)
@@ -390,19 +390,19 @@
 func TestEvidenceAfterAnAnswerElsewhere(t *testing.T) {
 	first, second, control := newTable("a"), newTable("b"), newTable("control")
 	first.crashAt(request(1), 1, start)
-	first.Served(request(1), start)
-	records, _ := first.Since(0, 9, Own, start)
+	first.RecordAnswer(request(1), start)
+	records, _ := first.Since(0, 9, LocalChanges, start)
 	control.Merge(records, start)
-	records, _ = control.Since(0, 9, Decisive, start)
+	records, _ = control.Since(0, 9, NeededByEntryHosts, start)
 	second.Merge(records, start)
 	later := start.Add(time.Minute)
 	for s := range uint64(3) {
 		second.crashAt(request(1), 10+s, later)
 	}
-	records, _ = second.Since(0, 9, Own, later)
+	records, _ = second.Since(0, 9, LocalChanges, later)
 	control.Merge(records, later)
-	if got := control.Judge(request(1), later); got.Ends != 3 {
-		t.Errorf("control host counts %d crashes, want 3", got.Ends)
+	if got := control.Judge(request(1), later); got.ServerCrashes != 3 {
+		t.Errorf("control host counts %d crashes, want 3", got.ServerCrashes)
 	}
 }
 
--- a/internal/core/quota/bench_test.go
+++ b/internal/core/quota/bench_test.go
@@ -25,22 +25,22 @@
 	for _, teams := range []int{1, 16, 200} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			i := NewIssuer(IssuerOptions{Bound: simBound, Fresh: true}, now)
+			i := NewIssuer(IssuerOptions{Bound: simBound, FirstStart: true}, now)
 			i.SetShare(1, true, now)
 			i.SetTeams(manyTeams(teams), now)
-			i.Stored(i.ToStore(now))
+			i.ConfirmStored(i.StateToStore(now))
 			h := NewHolder()
 			var ask *pb.QuotaAsk
 			var grant *pb.QuotaGrant
 			for b.Loop() {
 				now = now.Add(200 * time.Millisecond)
 				for n := range teams {
-					h.Ask(fmt.Sprintf("team%04d", n), 1000, now)
+					h.RecordDemand(fmt.Sprintf("team%04d", n), 1000, now)
 				}
-				ask = h.Compose("c", true, func(string) bool { return false }, now)
+				ask = h.ComposeAsk("c", true, func(string) bool { return false }, now)
 				ask.Sequence = uint64(b.N) + uint64(now.UnixNano())
 				grant = i.Answer("h", ask, now)
-				h.Granted("c", ask, grant, now)
+				h.ApplyGrant("c", ask, grant, now)
 			}
 			b.ReportMetric(float64(proto.Size(ask)+proto.Size(grant)), "B/ask")
 		})
@@ -53,7 +53,7 @@
 	for _, teams := range []int{16, 2000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			i := NewIssuer(IssuerOptions{Bound: simBound, Fresh: true}, now)
+			i := NewIssuer(IssuerOptions{Bound: simBound, FirstStart: true}, now)
 			i.SetShare(1, true, now)
 			i.SetTeams(manyTeams(teams), now)
 			for range 80 {
@@ -65,8 +65,8 @@
 			}
 			var s *pb.QuotaState
 			for b.Loop() {
-				i.NotStored()
-				s = i.ToStore(now)
+				i.InvalidateStored()
+				s = i.StateToStore(now)
 			}
 			b.ReportMetric(float64(proto.Size(s)), "B/store")
 		})
--- a/internal/core/quota/holder.go
+++ b/internal/core/quota/holder.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Ask records that a request needs units of a team's quota.
-func (h *Holder) Ask(team string, units float64, now time.Time) {
+// RecordDemand records that a request needs units of a team's quota.
+func (h *Holder) RecordDemand(team string, units float64, now time.Time) {
 	p := h.account(team)
 	p.demand.add(units, now)
 	p.lastRequest = now
@@ -135,8 +135,8 @@
 	return true
 }
 
-// Wait adds units to what waiting requests of the team need; a negative number ends a wait.
-func (h *Holder) Wait(team string, units float64) {
+// AddWaiting adds units to what waiting requests of the team need; a negative number ends a wait.
+func (h *Holder) AddWaiting(team string, units float64) {
 	p := h.account(team)
 	p.waiting = max(0, p.waiting+units)
 }
@@ -147,10 +147,10 @@
 // idleTimeout is how long after its last request a team's holder returns all of its units.
 const idleTimeout = 600 * time.Millisecond
 
-// Compose returns the ask to send to an issuer, and removes the units that the ask returns; nil if
+// ComposeAsk returns the ask to send to an issuer, and removes the units that the ask returns; nil if
 // there is nothing to send. The nearest issuer is also asked for units for expected requests;
 // needs reports for which teams waiting requests ask this issuer.
-func (h *Holder) Compose(issuer string, nearest bool, needs func(team string) bool, now time.Time) *pb.QuotaAsk {
+func (h *Holder) ComposeAsk(issuer string, nearest bool, needs func(team string) bool, now time.Time) *pb.QuotaAsk {
 	ask := &pb.QuotaAsk{}
 	for _, team := range slices.Sorted(maps.Keys(h.accounts)) {
 		p := h.accounts[team]
@@ -225,8 +225,8 @@
 	}
 }
 
-// Granted applies an issuer's answer to an ask that was sent at sentAt.
-func (h *Holder) Granted(issuer string, ask *pb.QuotaAsk, grant *pb.QuotaGrant, sentAt time.Time) {
+// ApplyGrant applies an issuer's answer to an ask that was sent at sentAt.
+func (h *Holder) ApplyGrant(issuer string, ask *pb.QuotaAsk, grant *pb.QuotaGrant, sentAt time.Time) {
 	for n, s := range grant.GetShares() {
 		if n >= len(ask.Parts) {
 			return
--- a/internal/core/quota/issuer.go
+++ b/internal/core/quota/issuer.go
@@ -25,10 +25,10 @@
 	Bound Bound
 	// Restored is the state that was stored last; nil if there is none.
 	Restored *pb.QuotaState
-	// Fresh reports that no issuer ran on this control host before. Any other issuer without stored
+	// FirstStart reports that no issuer ran on this control host before. Any other issuer without stored
 	// state gives out nothing of its own part for the duration Settle.
-	Fresh  bool
-	Settle time.Duration
+	FirstStart   bool
+	SettlePeriod time.Duration
 }
 
 // lastAsk identifies the last ask of a holder or borrower.
@@ -164,7 +164,7 @@
 // in use and are not known from stored state. Until then this issuer gives out only borrowed
 // units, and stores nothing.
 func (i *Issuer) settling(now time.Time) bool {
-	return i.o.Restored == nil && !i.o.Fresh && now.Before(i.started.Add(i.o.Settle))
+	return i.o.Restored == nil && !i.o.FirstStart && now.Before(i.started.Add(i.o.SettlePeriod))
 }
 
 // recordFormerBase records that the base was larger, until the units spent of it have returned.
@@ -405,9 +405,9 @@
 	return given
 }
 
-// Borrow returns the ask to send to one of the given number of lenders, and removes the units that
+// ComposeBorrowAsk returns the ask to send to one of the given number of lenders, and removes the units that
 // the ask returns; nil if there is nothing to send.
-func (i *Issuer) Borrow(lender string, lenders int, now time.Time) *pb.QuotaAsk {
+func (i *Issuer) ComposeBorrowAsk(lender string, lenders int, now time.Time) *pb.QuotaAsk {
 	ask := &pb.QuotaAsk{Transfer: true}
 	for _, name := range slices.Sorted(maps.Keys(i.allotments)) {
 		p := i.allotments[name]
@@ -436,8 +436,8 @@
 	return ask
 }
 
-// Borrowed applies a lender's answer to an ask that was sent at sentAt.
-func (i *Issuer) Borrowed(lender string, ask *pb.QuotaAsk, grant *pb.QuotaGrant, sentAt, now time.Time) {
+// ApplyLoan applies a lender's answer to an ask that was sent at sentAt.
+func (i *Issuer) ApplyLoan(lender string, ask *pb.QuotaAsk, grant *pb.QuotaGrant, sentAt, now time.Time) {
 	for n, s := range grant.GetShares() {
 		if n >= len(ask.Parts) {
 			return
@@ -463,9 +463,9 @@
 	maxStoredFactor    = 4                      // times what is not free or may soon be given out
 )
 
-// ToStore returns the state to store now; nil if the stored state still suffices. After a non-nil
+// StateToStore returns the state to store now; nil if the stored state still suffices. After a non-nil
 // result the caller calls Stored or NotStored.
-func (i *Issuer) ToStore(now time.Time) *pb.QuotaState {
+func (i *Issuer) StateToStore(now time.Time) *pb.QuotaState {
 	if i.settling(now) {
 		return nil
 	}
@@ -490,8 +490,8 @@
 	return out
 }
 
-// Stored applies that a state returned by ToStore has been stored.
-func (i *Issuer) Stored(s *pb.QuotaState) {
+// ConfirmStored applies that a state returned by ToStore has been stored.
+func (i *Issuer) ConfirmStored(s *pb.QuotaState) {
 	for name, u := range s.GetTeams() {
 		if p := i.allotments[name]; p != nil {
 			p.grants.endStore(u.Spent)
@@ -500,9 +500,9 @@
 	}
 }
 
-// NotStored records that a store failed and the stored state is unknown: nothing more is given out
+// InvalidateStored records that a store failed and the stored state is unknown: nothing more is given out
 // until a later store succeeds.
-func (i *Issuer) NotStored() {
+func (i *Issuer) InvalidateStored() {
 	for _, p := range i.allotments {
 		p.grants, p.loans = allowance{}, allowance{}
 	}
@@ -515,7 +515,7 @@
 	Free            float64
 	Borrowed, Lent  float64 // from and to other issuers
 	Held            float64 // by entry hosts
-	Back            float64 // spent, free again one window later
+	PendingReturn   float64 // spent, free again one window later
 	DemandPerSecond float64
 	Refused         float64 // needed and not granted, since the start
 }
@@ -532,7 +532,7 @@
 		l.Held += units
 	}
 	for _, b := range p.returns {
-		l.Back += b.units
+		l.PendingReturn += b.units
 	}
 	return l
 }
--- a/internal/core/quota/simulation_test.go
+++ b/internal/core/quota/simulation_test.go
@@ -81,7 +81,7 @@
 	w.setQuota(q)
 	for i := range issuers {
 		is := &simIssuer{name: fmt.Sprint("c", i), up: true, busy: map[string]int{}}
-		is.Issuer = NewIssuer(IssuerOptions{Bound: simBound, Fresh: true, Settle: 30 * time.Second}, w.now)
+		is.Issuer = NewIssuer(IssuerOptions{Bound: simBound, FirstStart: true, SettlePeriod: 30 * time.Second}, w.now)
 		is.epoch = w.nextEpoch()
 		w.issuers = append(w.issuers, is)
 	}
@@ -144,11 +144,11 @@
 		if is.incarnation != incarnation {
 			return
 		}
-		if u := is.ToStore(w.now); u != nil {
+		if u := is.StateToStore(w.now); u != nil {
 			w.schedule(w.randomDuration(30*time.Millisecond), func() {
 				if is.incarnation == incarnation {
 					is.disk = u
-					is.Stored(u)
+					is.ConfirmStored(u)
 				}
 			})
 		}
@@ -210,7 +210,7 @@
 }
 
 func (w *simulation) borrow(is, lender *simIssuer) {
-	ask := is.Borrow(lender.name, len(w.issuers)-1, w.now)
+	ask := is.ComposeBorrowAsk(lender.name, len(w.issuers)-1, w.now)
 	if ask == nil {
 		return
 	}
@@ -224,7 +224,7 @@
 		}
 		is.busy[lender.name] = 0
 		if g != nil {
-			is.Borrowed(lender.name, ask, g, sentAt, w.now)
+			is.ApplyLoan(lender.name, ask, g, sentAt, w.now)
 		}
 	})
 }
@@ -251,7 +251,7 @@
 	if h.busy[is.name] {
 		return
 	}
-	ask := h.Compose(is.name, nearest, func(string) bool { return len(h.waiting) > 0 }, w.now)
+	ask := h.ComposeAsk(is.name, nearest, func(string) bool { return len(h.waiting) > 0 }, w.now)
 	if ask == nil {
 		return
 	}
@@ -265,7 +265,7 @@
 		}
 		h.busy[is.name] = false
 		if g != nil {
-			h.Granted(is.name, ask, g, sentAt)
+			h.ApplyGrant(is.name, ask, g, sentAt)
 		}
 		w.serve(h)
 		if len(h.waiting) > 0 && is == w.issuers[h.nearestIssuer] {
@@ -279,7 +279,7 @@
 		if !w.take(h, units) {
 			return false
 		}
-		h.Wait(simTeam, -units)
+		h.AddWaiting(simTeam, -units)
 		return true
 	})
 }
@@ -287,12 +287,12 @@
 // request simulates a request at a holder.
 func (w *simulation) request(h *simHolder, units float64) {
 	w.asked += units
-	h.Ask(simTeam, units, w.now)
+	h.RecordDemand(simTeam, units, w.now)
 	if w.take(h, units) {
 		return
 	}
 	h.waiting = append(h.waiting, units)
-	h.Wait(simTeam, units)
+	h.AddWaiting(simTeam, units)
 	w.ask(h, w.issuers[h.nearestIssuer], true)
 	incarnation := h.incarnation
 	w.schedule(60*time.Millisecond, func() {
@@ -305,7 +305,7 @@
 	w.schedule(450*time.Millisecond, func() {
 		if i := slices.Index(h.waiting, units); h.incarnation == incarnation && i >= 0 {
 			h.waiting = slices.Delete(h.waiting, i, i+1)
-			h.Wait(simTeam, -units)
+			h.AddWaiting(simTeam, -units)
 			w.refused += units
 		}
 	})
@@ -341,7 +341,7 @@
 	}
 	w.schedule(down, func() {
 		is.up, is.busy, is.epoch = true, map[string]int{}, w.nextEpoch()
-		is.Issuer = NewIssuer(IssuerOptions{Bound: simBound, Restored: is.disk, Settle: 30 * time.Second}, w.now)
+		is.Issuer = NewIssuer(IssuerOptions{Bound: simBound, Restored: is.disk, SettlePeriod: 30 * time.Second}, w.now)
 		w.startIssuer(is)
 	})
 }
--- a/internal/core/registry/census.go
+++ b/internal/core/registry/census.go
@@ -8,9 +8,9 @@
 
 // DomainCensus counts the live entry hosts and listed backend servers of a failure domain.
 type DomainCensus struct {
-	Name, Region                   string
-	Hosts, Ready, Presented, Owned int // live entry hosts
-	Servers, HeardHere             int // listed backend servers
+	Name, Region                     string
+	Hosts, Ready, SyncingHere, Owned int // live entry hosts
+	Servers, AnnouncedHere           int // listed backend servers
 	// The live entry host and the listed server whose last message is the oldest; "" for none.
 	OldestHost, OldestServer       string
 	OldestHostAge, OldestServerAge time.Duration
@@ -44,23 +44,23 @@
 	if h.Ready {
 		d.Ready++
 	}
-	if r.PresentsItself(h, now) {
-		d.Presented++
+	if r.SyncsHere(h, now) {
+		d.SyncingHere++
 	}
 	if h.owned {
 		d.Owned++
 	}
-	if age := now.Sub(h.HeardAt); d.OldestHost == "" || age > d.OldestHostAge {
+	if age := now.Sub(h.LastSeen); d.OldestHost == "" || age > d.OldestHostAge {
 		d.OldestHost, d.OldestHostAge = h.ID, age
 	}
 }
 
 func (d *DomainCensus) addServer(s *Server, now time.Time) {
 	d.Servers++
-	if s.HeardHere() {
-		d.HeardHere++
+	if s.AnnouncedHere() {
+		d.AnnouncedHere++
 	}
-	if age := now.Sub(s.HeardAt); d.OldestServer == "" || age > d.OldestServerAge || (age == d.OldestServerAge && s.ID < d.OldestServer) {
+	if age := now.Sub(s.LastSeen); d.OldestServer == "" || age > d.OldestServerAge || (age == d.OldestServerAge && s.ID < d.OldestServer) {
 		d.OldestServer, d.OldestServerAge = s.ID, age
 	}
 }
--- a/internal/core/registry/changes.go
+++ b/internal/core/registry/changes.go
@@ -44,10 +44,10 @@
 	return r.version
 }
 
-// Since returns the changes after a version for entry hosts of a region. It reports whether the
+// ChangesSince returns the changes after a version for entry hosts of a region. It reports whether the
 // log still holds all of them. Its cost grows with the changes and not with the fleet, because
 // each entry host calls it several times a second.
-func (r *Registry) Since(version uint64, region string, now time.Time) (c Changes, complete bool) {
+func (r *Registry) ChangesSince(version uint64, region string, now time.Time) (c Changes, complete bool) {
 	if version < r.trimmedVersion {
 		return c, false
 	}
@@ -103,10 +103,10 @@
 	}
 }
 
-// HeardSince returns the servers that announced themselves or left after a position in the log,
+// AnnouncedSince returns the servers that announced themselves or left after a position in the log,
 // each once, and the position for the next call. It reports whether the log still reaches back to
 // the position.
-func (r *Registry) HeardSince(position uint64) (servers []*Server, next uint64, complete bool) {
+func (r *Registry) AnnouncedSince(position uint64) (servers []*Server, next uint64, complete bool) {
 	next = r.announcementLogStart + uint64(len(r.announcementLog))
 	if position < r.announcementLogStart || position > next {
 		return nil, next, false
--- a/internal/core/registry/changes_test.go
+++ b/internal/core/registry/changes_test.go
@@ -17,7 +17,7 @@
 		for _, s := range r.List("west") {
 			l = append(l, s.ID)
 		}
-		changes, complete := r.Since(since, "west", at(now))
+		changes, complete := r.ChangesSince(since, "west", at(now))
 		for _, s := range changes.Servers {
 			id := s.ID
 			if s.Gone {
@@ -28,7 +28,7 @@
 		if !slices.Equal(l, listed) || !slices.Equal(c, changed) || !slices.Equal(changes.RemovedServers, removed) || !complete {
 			t.Errorf("%s: listed %v, changed %v, removed %v, complete %v", step, l, c, changes.RemovedServers, complete)
 		}
-		if far, _ := r.Since(since, "east", at(now)); len(far.Servers) > 0 && far.Servers[0].FailureDomain != "" {
+		if far, _ := r.ChangesSince(since, "east", at(now)); len(far.Servers) > 0 && far.Servers[0].FailureDomain != "" {
 			t.Errorf("%s: another region gets %v", step, far.Servers)
 		}
 	}
@@ -64,10 +64,10 @@
 	for i := range maxChanges + 1 {
 		r.recordChange(false, fmt.Sprint("h", i))
 	}
-	if _, complete := r.Since(start, "west", at(0)); complete {
+	if _, complete := r.ChangesSince(start, "west", at(0)); complete {
 		t.Error("complete, though the first change was dropped")
 	}
-	if c, complete := r.Since(start+1, "west", at(0)); !complete || len(c.RemovedHosts) != maxChanges {
+	if c, complete := r.ChangesSince(start+1, "west", at(0)); !complete || len(c.RemovedHosts) != maxChanges {
 		t.Errorf("%d changes, complete %v", len(c.RemovedHosts), complete)
 	}
 }
@@ -75,16 +75,16 @@
 // TestExpiredHostIsRemovedOnce checks that the expiry of an entry host's lease is reported once.
 func TestExpiredHostIsRemovedOnce(t *testing.T) {
 	r := newRegistry()
-	r.HearHost(host("h", "west", "w1", true, 0), at(0))
+	r.UpdateHost(host("h", "west", "w1", true, 0), at(0))
 	since := r.Version()
 	r.Expire(at(1400), at(1600))
-	if c, _ := r.Since(since, "west", at(1600)); !slices.Equal(c.RemovedHosts, []string{"h"}) {
+	if c, _ := r.ChangesSince(since, "west", at(1600)); !slices.Equal(c.RemovedHosts, []string{"h"}) {
 		t.Errorf("removed %v", c.RemovedHosts)
 	}
 	since = r.Version()
 	r.Expire(at(1600), at(1700))
-	r.HearHost(host("h", "west", "w1", true, 1800), at(1800))
-	if c, _ := r.Since(since, "west", at(1800)); len(c.RemovedHosts) != 0 || len(c.Hosts) != 1 {
+	r.UpdateHost(host("h", "west", "w1", true, 1800), at(1800))
+	if c, _ := r.ChangesSince(since, "west", at(1800)); len(c.RemovedHosts) != 0 || len(c.Hosts) != 1 {
 		t.Errorf("removed %v, or its return is not reported", c.RemovedHosts)
 	}
 }
@@ -93,12 +93,12 @@
 // incomplete if the position was dropped or belongs to another process.
 func TestHeardSince(t *testing.T) {
 	r := newRegistry()
-	_, start, _ := r.HeardSince(0)
+	_, start, _ := r.AnnouncedSince(0)
 	for i, id := range []string{"a", "b", "a"} {
 		r.Announce(announcement(id, "x"+id, uint64(i+1), 100*i), at(100*i))
 	}
 	read := func(from uint64) (ids []string, next uint64, complete bool) {
-		servers, next, complete := r.HeardSince(from)
+		servers, next, complete := r.AnnouncedSince(from)
 		for _, s := range servers {
 			ids = append(ids, s.ID)
 		}
@@ -130,18 +130,18 @@
 	far := host("h", "east", "e1", true, 0)
 	far.Direct = false
 	key := far.Key()
-	if r.HearHostAgain(key, true, true, "w1", at(0), at(0)) {
+	if r.RenewHost(key, true, true, "w1", at(0), at(0)) {
 		t.Error("a host that was never reported is known")
 	}
-	r.HearHost(far, at(0))
+	r.UpdateHost(far, at(0))
 	version := r.Version()
-	if !r.HearHostAgain(key, true, true, "w1", at(1400), at(1450)) || len(r.Hosts(at(2000))) != 1 {
+	if !r.RenewHost(key, true, true, "w1", at(1400), at(1450)) || len(r.Hosts(at(2000))) != 1 {
 		t.Error("the host is not live, though it was renewed")
 	}
-	if c, _ := r.Since(version, "west", at(2000)); r.Version() != version || len(c.Hosts) > 0 || r.Hosts(at(2000))[0].ChangedSince(version) {
+	if c, _ := r.ChangesSince(version, "west", at(2000)); r.Version() != version || len(c.Hosts) > 0 || r.Hosts(at(2000))[0].ChangedSince(version) {
 		t.Error("the renewal changed the host")
 	}
-	if r.HearHostAgain(key, true, true, "w1", at(1000), at(2000)); len(r.Hosts(at(2800))) != 1 {
+	if r.RenewHost(key, true, true, "w1", at(1000), at(2000)); len(r.Hosts(at(2800))) != 1 {
 		t.Error("an older renewal replaced a newer one")
 	}
 }
--- a/internal/core/registry/derived_test.go
+++ b/internal/core/registry/derived_test.go
@@ -34,8 +34,8 @@
 			case 2, 3:
 				h := host(fmt.Sprint("h", n), regions[domain], domain, rnd.Intn(2) == 0, ms)
 				h.Direct = rnd.Intn(4) > 0
-				h.Loads = serverload.Loads{holders.Key(fmt.Sprint("s", rnd.Intn(12))): {Requests: uint32(rnd.Intn(3)), ReadingMS: 1}}
-				r.HearHost(h, at(ms))
+				h.Loads = serverload.Loads{holders.Key(fmt.Sprint("s", rnd.Intn(12))): {Requests: uint32(rnd.Intn(3)), PrefillMS: 1}}
+				r.UpdateHost(h, at(ms))
 			}
 			r.Expire(at(expired), at(ms))
 			expired = ms
@@ -55,7 +55,7 @@
 			sum.Add(h.Loads)
 		}
 	}
-	if got := r.DirectLoads(); !maps.Equal(got, sum) {
+	if got := r.OwnedLoads(); !maps.Equal(got, sum) {
 		t.Errorf("maintained sum %v, computed %v", got, sum)
 	}
 	var listed, want []string
