--- a/internal/core/registry/hosts.go
+++ b/internal/core/registry/hosts.go
@@ -18,15 +18,15 @@
 type Host struct {
 	ID, Peer, Caller, Region, FailureDomain string
 	Ready                                   bool
-	HeardAt                                 time.Time // last sync request to any control host
+	LastSeen                                time.Time // last sync request to any control host
 	// Direct is set by the caller of HearHost when the host sent the sync request to this
 	// control host, and Primary when the receiving control host is the entry host's primary.
 	Direct, Primary bool
 	// Via is the failure domain of the control host that received its last sync request; "" for
 	// this control host.
 	Via string
-	// PresentedAt is when it last sent a sync request to this control host; zero for never.
-	PresentedAt    time.Time
+	// SyncedHereAt is when it last sent a sync request to this control host; zero for never.
+	SyncedHereAt   time.Time
 	Loads          serverload.Loads // nil unless owned by this control host
 	changedVersion uint64           // registry version of the last change
 	owned          bool             // by this control host
@@ -38,7 +38,7 @@
 // Control is another control host.
 type Control struct {
 	Store, Peer, Operator, Region, FailureDomain string
-	HeardAt                                      time.Time
+	LastSeen                                     time.Time
 	// Loads are the loads of its region, as received at LoadsAt.
 	Loads       []*pb.RegionLoad
 	LoadsAt     time.Time
@@ -47,9 +47,9 @@
 	countedLoads serverload.Loads // the part of Registry.regionSum that it sent
 }
 
-// HearHost records an entry host's sync request, received here or by another control host. It
+// UpdateHost records an entry host's sync request, received here or by another control host. It
 // reports whether the request changed anything that is sent to other hosts.
-func (r *Registry) HearHost(h Host, now time.Time) bool {
+func (r *Registry) UpdateHost(h Host, now time.Time) bool {
 	old := r.hosts[h.ID]
 	if old == nil {
 		old = &Host{}
@@ -57,13 +57,13 @@
 		r.hostIDs = slices.Insert(r.hostIDs, at, h.ID)
 		r.hosts[h.ID] = old
 	}
-	if h.Primary && !h.Direct && h.HeardAt.After(old.PresentedAt) {
+	if h.Primary && !h.Direct && h.LastSeen.After(old.SyncedHereAt) {
 		r.disown(old)
 	}
-	if !h.HeardAt.After(old.HeardAt) {
+	if !h.LastSeen.After(old.LastSeen) {
 		return false
 	}
-	changed := old.ID == "" || old.Ready != h.Ready || old.Peer != h.Peer || old.Caller != h.Caller || now.Sub(old.HeardAt) > r.o.HostLease
+	changed := old.ID == "" || old.Ready != h.Ready || old.Peer != h.Peer || old.Caller != h.Caller || now.Sub(old.LastSeen) > r.o.HostLease
 	if changed {
 		r.recordHostChange(&h)
 	} else {
@@ -71,15 +71,15 @@
 	}
 	before := old.Loads
 	if h.Direct {
-		h.PresentedAt, h.owned = h.HeardAt, h.Primary && h.Region == r.o.Region
+		h.SyncedHereAt, h.owned = h.LastSeen, h.Primary && h.Region == r.o.Region
 	} else {
-		h.PresentedAt, h.owned, h.Loads = old.PresentedAt, old.owned, old.Loads
+		h.SyncedHereAt, h.owned, h.Loads = old.SyncedHereAt, old.owned, old.Loads
 	}
 	if !h.owned {
 		h.Loads = nil
 	}
 	r.replaceOwnedLoads(before, h.Loads)
-	r.nextHostExpiry = earlier(r.nextHostExpiry, h.HeardAt.Add(r.o.HostLease))
+	r.nextHostExpiry = earlier(r.nextHostExpiry, h.LastSeen.Add(r.o.HostLease))
 	*old = h
 	r.hostByKey[h.Key()] = old
 	return changed
@@ -103,22 +103,22 @@
 // Owned reports whether this control host owns the host's loads.
 func (h *Host) Owned() bool { return h.owned }
 
-// PresentsItself reports whether the host sent a sync request to this control host within its lease.
-func (r *Registry) PresentsItself(h *Host, now time.Time) bool {
-	return !h.PresentedAt.IsZero() && now.Sub(h.PresentedAt) <= r.o.HostLease
+// SyncsHere reports whether the host sent a sync request to this control host within its lease.
+func (r *Registry) SyncsHere(h *Host, now time.Time) bool {
+	return !h.SyncedHereAt.IsZero() && now.Sub(h.SyncedHereAt) <= r.o.HostLease
 }
 
-// HearHostAgain records that another control host, which sent the full entry of an entry host
+// RenewHost records that another control host, which sent the full entry of an entry host
 // before, still receives its sync requests; owned is true if that control host owns the host's
 // loads. It reports whether the host is known here.
-func (r *Registry) HearHostAgain(key uint32, owned, ready bool, via string, heardAt, now time.Time) bool {
+func (r *Registry) RenewHost(key uint32, owned, ready bool, via string, heardAt, now time.Time) bool {
 	known := r.hostByKey[key]
 	if known == nil {
 		return false
 	}
 	h := *known
-	h.HeardAt, h.Direct, h.Primary, h.Ready, h.Via = heardAt, false, owned, ready, via
-	r.HearHost(h, now)
+	h.LastSeen, h.Direct, h.Primary, h.Ready, h.Via = heardAt, false, owned, ready, via
+	r.UpdateHost(h, now)
 	return true
 }
 
@@ -126,7 +126,7 @@
 // its full entry at that version must get it again.
 func (h *Host) ChangedSince(version uint64) bool { return h.changedVersion > version }
 
-func (r *Registry) live(h *Host, now time.Time) bool { return now.Sub(h.HeardAt) <= r.o.HostLease }
+func (r *Registry) live(h *Host, now time.Time) bool { return now.Sub(h.LastSeen) <= r.o.HostLease }
 
 // Hosts returns the live entry hosts, sorted by ID.
 func (r *Registry) Hosts(now time.Time) []*Host {
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// HearControl records the state that another control host sent of itself.
-func (r *Registry) HearControl(c Control) {
+// UpdateControl records the state that another control host sent of itself.
+func (r *Registry) UpdateControl(c Control) {
 	var before serverload.Loads
 	if old := r.controls[c.Peer]; old != nil {
 		before = old.countedLoads
@@ -176,13 +176,13 @@
 	r.controls[c.Peer] = &c
 }
 
-// HearOfControl records a control host of another region as reported by another control host of
+// UpdateReportedControl records a control host of another region as reported by another control host of
 // the same failure domain. It keeps the loads that the control host itself sent.
-func (r *Registry) HearOfControl(c Control) {
+func (r *Registry) UpdateReportedControl(c Control) {
 	old := r.controls[c.Peer]
 	if old == nil {
 		r.controls[c.Peer] = &c
-	} else if c.HeardAt.After(old.HeardAt) {
+	} else if c.LastSeen.After(old.LastSeen) {
 		c.Loads, c.LoadsAt, c.ServerLoads, c.countedLoads = old.Loads, old.LoadsAt, old.ServerLoads, old.countedLoads
 		r.controls[c.Peer] = &c
 	}
@@ -193,22 +193,22 @@
 // a time do no harm.
 const representativeTimeout = time.Second
 
-// Speaks reports whether this control host, at ownAddress, represents its failure domain to other
+// RepresentsDomain reports whether this control host, at ownAddress, represents its failure domain to other
 // regions: no control host of the failure domain with a lower address has sent a message within
 // representativeTimeout. Traffic between regions thus grows with the number of failure domains and
 // not with the number of control hosts.
-func (r *Registry) Speaks(ownAddress string, now time.Time) bool {
+func (r *Registry) RepresentsDomain(ownAddress string, now time.Time) bool {
 	for _, c := range r.controls {
-		if c.FailureDomain == r.o.FailureDomain && c.Peer < ownAddress && now.Sub(c.HeardAt) <= representativeTimeout {
+		if c.FailureDomain == r.o.FailureDomain && c.Peer < ownAddress && now.Sub(c.LastSeen) <= representativeTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// HeardInDomain reports whether the host's last sync request was received in this failure domain,
+// SyncedInDomain reports whether the host's last sync request was received in this failure domain,
 // by this control host or by another one.
-func (r *Registry) HeardInDomain(h *Host) bool { return h.Via == "" || h.Via == r.o.FailureDomain }
+func (r *Registry) SyncedInDomain(h *Host) bool { return h.Via == "" || h.Via == r.o.FailureDomain }
 
 // ControlLease is how long another control host counts as live after its last message.
 const ControlLease = 3 * time.Second
@@ -217,7 +217,7 @@
 func (r *Registry) Controls(now time.Time) []*Control {
 	var out []*Control
 	for _, c := range r.controls {
-		if c.Heard(now) {
+		if c.Live(now) {
 			out = append(out, c)
 		}
 	}
@@ -235,5 +235,5 @@
 	return out
 }
 
-// Heard reports whether a message of or about the control host was recorded within ControlLease.
-func (c *Control) Heard(now time.Time) bool { return now.Sub(c.HeardAt) <= ControlLease }
+// Live reports whether a message of or about the control host was recorded within ControlLease.
+func (c *Control) Live(now time.Time) bool { return now.Sub(c.LastSeen) <= ControlLease }
--- a/internal/core/registry/owner_test.go
+++ b/internal/core/registry/owner_test.go
@@ -52,8 +52,8 @@
 		return
 	}
 	h.lastSync, h.owners[h.owner] = p.now, p.now
-	p.registries[h.owner].HearHost(Host{
-		ID: h.id, Region: "west", FailureDomain: "w1", Ready: true, HeardAt: p.now, Direct: true, Primary: true,
+	p.registries[h.owner].UpdateHost(Host{
+		ID: h.id, Region: "west", FailureDomain: "w1", Ready: true, LastSeen: p.now, Direct: true, Primary: true,
 		Loads: serverload.Loads{uint32(i + 1): {Requests: requestsPerHost}},
 	}, p.now)
 }
@@ -64,12 +64,12 @@
 		return
 	}
 	r := p.registries[from]
-	p.registries[to].HearControl(Control{Peer: fmt.Sprint("c", from), Region: "west", HeardAt: p.now, ServerLoads: r.DirectLoads()})
+	p.registries[to].UpdateControl(Control{Peer: fmt.Sprint("c", from), Region: "west", LastSeen: p.now, ServerLoads: r.OwnedLoads()})
 	for _, h := range r.Hosts(p.now) {
-		if r.PresentsItself(h, p.now) {
+		if r.SyncsHere(h, p.now) {
 			m := *h
-			m.Direct, m.Primary, m.HeardAt = false, h.Owned(), h.PresentedAt
-			p.registries[to].HearHost(m, p.now)
+			m.Direct, m.Primary, m.LastSeen = false, h.Owned(), h.SyncedHereAt
+			p.registries[to].UpdateHost(m, p.now)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	p := newRegion(2, 1)
 	p.run(time.Second)
 	p.now = p.now.Add(stepInterval)
-	p.registries[1].HearHost(Host{ID: "h0", Region: "west", FailureDomain: "w1", Ready: true, HeardAt: p.now, Direct: true}, p.now)
+	p.registries[1].UpdateHost(Host{ID: "h0", Region: "west", FailureDomain: "w1", Ready: true, LastSeen: p.now, Direct: true}, p.now)
 	p.exchangeState(1, 0)
 	if n := p.timesCounted(0, 0); n != 1 {
 		t.Errorf("the owner counts the host %d times", n)
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -47,16 +47,16 @@
 	ID, Service, Address, FailureDomain string
 	// Start is when the server's process began, in Unix ms by the server's own clock; 0 when the
 	// server did not send it.
-	Start              int64
-	Sequence           uint64
-	Slots              int
-	Release            string // software version; "" when the server did not send it
-	Leaving, Gone      bool
-	FirstSeen, HeardAt time.Time
-	ColdUntil          time.Time
-	// Direct is when this control host last received an announcement from the server itself; zero for
+	Start               int64
+	Sequence            uint64
+	Slots               int
+	Release             string // software version; "" when the server did not send it
+	Leaving, Gone       bool
+	FirstSeen, LastSeen time.Time
+	ColdUntil           time.Time
+	// DirectAt is when this control host last received an announcement from the server itself; zero for
 	// never.
-	Direct time.Time
+	DirectAt time.Time
 	// Via is the failure domain of the control host that forwarded the last announcement; "" when
 	// the server sent it here.
 	Via string
@@ -67,8 +67,8 @@
 	starts         incarnation.History
 }
 
-// HeardHere reports whether the server sent its last announcement to this control host.
-func (s *Server) HeardHere() bool { return s.Via == "" }
+// AnnouncedHere reports whether the server sent its last announcement to this control host.
+func (s *Server) AnnouncedHere() bool { return s.Via == "" }
 
 // Key returns the key of the server's start in messages between hosts.
 func (s *Server) Key() uint32 { return incarnation.Key(s.ID, s.Start) }
@@ -110,8 +110,8 @@
 // Version returns the number of the last change.
 func (r *Registry) Version() uint64 { return r.version }
 
-// Touch raises the version for a change outside the registry, and returns the new version.
-func (r *Registry) Touch() uint64 {
+// BumpVersion raises the version for a change outside the registry, and returns the new version.
+func (r *Registry) BumpVersion() uint64 {
 	r.version++
 	return r.version
 }
@@ -129,15 +129,15 @@
 	case incarnation.Newer:
 		return r.restart(old, s, now)
 	}
-	if old.Gone || s.Sequence < old.Sequence || (s.Sequence == old.Sequence && !s.HeardAt.After(old.HeardAt)) {
+	if old.Gone || s.Sequence < old.Sequence || (s.Sequence == old.Sequence && !s.LastSeen.After(old.LastSeen)) {
 		return false
 	}
 	if s.Start == 0 {
 		s.Start = old.Start
 	}
 	s.FirstSeen = old.FirstSeen
-	if s.Direct.IsZero() {
-		s.Direct = old.Direct
+	if s.DirectAt.IsZero() {
+		s.DirectAt = old.DirectAt
 	}
 	changed := old.Leaving != s.Leaving || old.Service != s.Service || old.Slots != s.Slots || r.lapsed(old, now) ||
 		old.Start != s.Start || old.Address != s.Address || s.ColdUntil.After(old.ColdUntil.Add(coldChangeThreshold))
@@ -186,7 +186,7 @@
 	s.starts.Advance(s.Start)
 	*known = s
 	r.recordAnnouncement(known)
-	r.nextServerExpiry = earlier(r.nextServerExpiry, s.HeardAt.Add(r.o.ServerLease))
+	r.nextServerExpiry = earlier(r.nextServerExpiry, s.LastSeen.Add(r.o.ServerLease))
 	if !listed {
 		clear(r.lists)
 	}
@@ -214,7 +214,7 @@
 		holder := r.servers[id]
 		if holder != nil && !holder.Gone && holder.FirstSeen.After(s.FirstSeen) {
 			s.Gone = true
-			s.HeardAt = now
+			s.LastSeen = now
 			r.servers[s.ID] = s
 			r.recordAnnouncement(s)
 			r.recordServerChange(s)
@@ -229,7 +229,7 @@
 	if s == nil || s.Gone {
 		return
 	}
-	s.Gone, s.HeardAt = true, now
+	s.Gone, s.LastSeen = true, now
 	clear(r.lists)
 	r.recordAnnouncement(s)
 	r.recordServerChange(s)
@@ -257,7 +257,9 @@
 	return wasInUse
 }
 
-func (r *Registry) lapsed(s *Server, now time.Time) bool { return now.Sub(s.HeardAt) > r.o.ServerLease }
+func (r *Registry) lapsed(s *Server, now time.Time) bool {
+	return now.Sub(s.LastSeen) > r.o.ServerLease
+}
 
 // Server returns the server with the ID, or nil.
 func (r *Registry) Server(id string) *Server { return r.servers[id] }
@@ -270,9 +272,9 @@
 func (r *Registry) DirectServers(region string, now time.Time) []*Server {
 	var out []*Server
 	for _, s := range r.servers {
-		at := s.Direct
+		at := s.DirectAt
 		if s.Gone {
-			at = s.HeardAt
+			at = s.LastSeen
 		}
 		if !at.IsZero() && now.Sub(at) <= r.o.ServerLease && (s.Gone || r.RegionOf(s.FailureDomain) == region) {
 			out = append(out, s)
@@ -292,7 +294,7 @@
 		r.expireHosts(last, now)
 	}
 	for _, c := range r.controls {
-		if c.countedLoads != nil && now.Sub(c.HeardAt) > r.o.HostLease {
+		if c.countedLoads != nil && now.Sub(c.LastSeen) > r.o.HostLease {
 			r.regionSum.replace(c.countedLoads, nil)
 			c.countedLoads = nil
 		}
@@ -308,15 +310,15 @@
 			r.recordServerChange(s)
 		}
 		switch {
-		case now.Sub(s.HeardAt) > goneRetention:
+		case now.Sub(s.LastSeen) > goneRetention:
 			delete(r.servers, id)
 			if r.byAddress[s.Address] == id {
 				delete(r.byAddress, s.Address)
 			}
 		case s.listed():
-			r.nextServerExpiry = earlier(r.nextServerExpiry, s.HeardAt.Add(r.o.ServerLease))
+			r.nextServerExpiry = earlier(r.nextServerExpiry, s.LastSeen.Add(r.o.ServerLease))
 		default:
-			r.nextServerExpiry = earlier(r.nextServerExpiry, s.HeardAt.Add(goneRetention))
+			r.nextServerExpiry = earlier(r.nextServerExpiry, s.LastSeen.Add(goneRetention))
 		}
 	}
 }
@@ -324,18 +326,18 @@
 func (r *Registry) expireHosts(last, now time.Time) {
 	r.nextHostExpiry = now.Add(r.o.HostLease)
 	for id, h := range r.hosts {
-		if !r.live(h, now) && last.Sub(h.HeardAt) <= r.o.HostLease {
+		if !r.live(h, now) && last.Sub(h.LastSeen) <= r.o.HostLease {
 			r.recordHostChange(h)
 		}
-		if !r.PresentsItself(h, now) {
+		if !r.SyncsHere(h, now) {
 			r.disown(h)
 		} else {
-			r.nextHostExpiry = earlier(r.nextHostExpiry, h.PresentedAt.Add(r.o.HostLease))
+			r.nextHostExpiry = earlier(r.nextHostExpiry, h.SyncedHereAt.Add(r.o.HostLease))
 		}
 		if r.live(h, now) {
-			r.nextHostExpiry = earlier(r.nextHostExpiry, h.HeardAt.Add(r.o.HostLease))
+			r.nextHostExpiry = earlier(r.nextHostExpiry, h.LastSeen.Add(r.o.HostLease))
 		}
-		if now.Sub(h.HeardAt) > goneRetention {
+		if now.Sub(h.LastSeen) > goneRetention {
 			delete(r.hosts, id)
 			delete(r.hostByKey, h.Key())
 			r.hostIDs = slices.DeleteFunc(r.hostIDs, func(known string) bool { return known == id })
@@ -354,8 +356,8 @@
 	return loads, r.regionSum.version, complete
 }
 
-// DirectLoads returns the summed work of the entry hosts that this control host owns.
-func (r *Registry) DirectLoads() serverload.Loads { return maps.Clone(r.ownedSum) }
+// OwnedLoads returns the summed work of the entry hosts that this control host owns.
+func (r *Registry) OwnedLoads() serverload.Loads { return maps.Clone(r.ownedSum) }
 
 // RegionLoads returns, for each service, the region's servers that accept work and the work that
 // the region's entry hosts have in flight there, sorted by service.
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -23,7 +23,7 @@
 
 // announcement returns an announcement of a server of failure domain w1.
 func announcement(id, addr string, seq uint64, ms int) Server {
-	return Server{ID: id, Service: "llm", Address: addr, FailureDomain: "w1", Sequence: seq, Slots: 8, HeardAt: at(ms), Direct: at(ms)}
+	return Server{ID: id, Service: "llm", Address: addr, FailureDomain: "w1", Sequence: seq, Slots: 8, LastSeen: at(ms), DirectAt: at(ms)}
 }
 
 // step is one message to a control host.
@@ -109,7 +109,7 @@
 }
 
 func host(id, region, domain string, ready bool, ms int) Host {
-	return Host{ID: id, Caller: id + ":1", Region: region, FailureDomain: domain, Ready: ready, HeardAt: at(ms), Direct: true, Primary: true}
+	return Host{ID: id, Caller: id + ":1", Region: region, FailureDomain: domain, Ready: ready, LastSeen: at(ms), Direct: true, Primary: true}
 }
 
 // TestLookup checks which entry hosts a caller gets.
@@ -133,7 +133,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRegistry()
 			for _, h := range c.hosts {
-				r.HearHost(h, at(0))
+				r.UpdateHost(h, at(0))
 			}
 			var permitted func(string) bool
 			if c.homes != nil {
@@ -154,7 +154,7 @@
 func loadsOfOtherHosts(r *Registry, host string) serverload.Loads {
 	told, _, _ := r.LoadsSince(0)
 	all := serverload.Loads{}
-	all.Take(told)
+	all.Apply(told)
 	if h := r.hosts[host]; h != nil {
 		return all.Without(h.Loads)
 	}
@@ -176,15 +176,15 @@
 	s0, s1 := holders.Key("s0"), holders.Key("s1")
 	a, b := host("a", "west", "w1", true, 0), host("b", "west", "w1", true, 0)
 	a.Loads, b.Loads = load("s0", 2), load("s0", 5)
-	r.HearHost(a, at(0))
-	r.HearHost(b, at(0))
-	r.HearControl(Control{Peer: "c2", Region: "west", HeardAt: at(0), ServerLoads: load("s1", 3)})
-	r.HearControl(Control{Peer: "c3", Region: "east", HeardAt: at(0), ServerLoads: load("s1", 9)})
+	r.UpdateHost(a, at(0))
+	r.UpdateHost(b, at(0))
+	r.UpdateControl(Control{Peer: "c2", Region: "west", LastSeen: at(0), ServerLoads: load("s1", 3)})
+	r.UpdateControl(Control{Peer: "c3", Region: "east", LastSeen: at(0), ServerLoads: load("s1", 9)})
 	others := loadsOfOtherHosts(r, "a")
 	if len(others) != 2 || others[s0].Requests != 5 || others[s1].Requests != 3 {
 		t.Errorf("others' work: %v", others)
 	}
-	if direct := r.DirectLoads(); len(direct) != 1 || direct[s0].Requests != 7 {
+	if direct := r.OwnedLoads(); len(direct) != 1 || direct[s0].Requests != 7 {
 		t.Errorf("work of the owned hosts: %v", direct)
 	}
 	sum := r.RegionLoads(func(string) bool { return false }, at(0))
@@ -206,10 +206,10 @@
 	arrivals := func(n uint32) serverload.Loads { return serverload.Loads{key: {Requests: n}} }
 	a, b := host("a", "west", "w1", true, 0), host("b", "west", "w1", true, 0)
 	a.Loads, b.Loads = arrivals(130), arrivals(20)
-	r.HearHost(a, at(0))
-	r.HearHost(b, at(0))
-	r.HearControl(Control{Peer: "c2", Region: "west", HeardAt: at(0), ServerLoads: arrivals(7)})
-	r.HearControl(Control{Peer: "c3", Region: "east", HeardAt: at(0), ServerLoads: arrivals(900)})
+	r.UpdateHost(a, at(0))
+	r.UpdateHost(b, at(0))
+	r.UpdateControl(Control{Peer: "c2", Region: "west", LastSeen: at(0), ServerLoads: arrivals(7)})
+	r.UpdateControl(Control{Peer: "c3", Region: "east", LastSeen: at(0), ServerLoads: arrivals(900)})
 	if got := loadsOfOtherHosts(r, "a")[key].Requests; got != 27 {
 		t.Errorf("host a gets %d, want 27", got)
 	}
@@ -230,18 +230,18 @@
 		return strings.Join(out, " ")
 	}
 	for _, id := range []string{"c", "a", "b", "a"} {
-		r.HearHost(host(id, "west", "w1", true, 0), at(0))
+		r.UpdateHost(host(id, "west", "w1", true, 0), at(0))
 	}
 	if got := ids(at(0)); got != "a b c" {
 		t.Errorf("hosts: %s", got)
 	}
 	later := at(0).Add(goneRetention + time.Minute)
-	r.HearHost(Host{ID: "b", Region: "west", FailureDomain: "w1", HeardAt: later}, later)
+	r.UpdateHost(Host{ID: "b", Region: "west", FailureDomain: "w1", LastSeen: later}, later)
 	r.Expire(at(0), later)
 	if got := ids(later); got != "b" {
 		t.Errorf("hosts after expiry: %s", got)
 	}
-	r.HearHost(Host{ID: "a", Region: "west", FailureDomain: "w1", HeardAt: later}, later)
+	r.UpdateHost(Host{ID: "a", Region: "west", FailureDomain: "w1", LastSeen: later}, later)
 	if got := ids(later); got != "a b" {
 		t.Errorf("hosts after one was added again: %s", got)
 	}
--- a/internal/core/registry/starts_test.go
+++ b/internal/core/registry/starts_test.go
@@ -133,7 +133,7 @@
 			continue
 		}
 		c := *s
-		c.Direct = at(-1) // received by the other control host; zero would keep this one's own value
+		c.DirectAt = at(-1) // received by the other control host; zero would keep this one's own value
 		to.Announce(c, at(ms))
 	}
 }
--- a/internal/core/registry/versionedloads_test.go
+++ b/internal/core/registry/versionedloads_test.go
@@ -27,7 +27,7 @@
 				next := serverload.Loads{}
 				for key := range uint32(4) {
 					if n := rapid.Uint32Range(0, 3).Draw(t, fmt.Sprint("requests at ", key)); n > 0 {
-						next[key] = serverload.Load{Requests: n, ReadingMS: 7 * n}
+						next[key] = serverload.Load{Requests: n, PrefillMS: 7 * n}
 					}
 				}
 				sum.replace(parts[i], next)
@@ -48,7 +48,7 @@
 			if !complete || r.have == nil {
 				r.have, changed = serverload.Loads{}, sum.all()
 			}
-			r.have.Take(changed)
+			r.have.Apply(changed)
 			r.version = sum.version
 			if !maps.Equal(r.have, want) {
 				t.Fatalf("a reader has %v, want %v", r.have, want)
--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -17,9 +17,9 @@
 	return d.Sum64()
 }
 
-// First returns the member that owns a key, or "" if there are no members. If two members
+// Owner returns the member that owns a key, or "" if there are no members. If two members
 // have the same weight, it returns the one that sorts first.
-func First(key string, members []string) string {
+func Owner(key string, members []string) string {
 	owner, highest := "", uint64(0)
 	for _, m := range members {
 		if w := Weight(key, m); owner == "" || w > highest || (w == highest && m < owner) {
--- a/internal/core/rendezvous/rendezvous_test.go
+++ b/internal/core/rendezvous/rendezvous_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestFirstOfNone(t *testing.T) {
-	if got := First("k", nil); got != "" {
+	if got := Owner("k", nil); got != "" {
 		t.Errorf("First of no members returned %q, want an empty string", got)
 	}
 }
@@ -29,7 +29,7 @@
 	keysOwned := map[string]int{}
 	for i := range 1000 {
 		key := fmt.Sprint("host-", i)
-		before, after := First(key, all), First(key, remaining)
+		before, after := Owner(key, all), Owner(key, remaining)
 		keysOwned[before]++
 		if before != all[3] && after != before {
 			t.Fatalf("%s moved from %s to %s, but the removed member is %s", key, before, after, all[3])
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -8,13 +8,13 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Break is the point at which an attempt ended.
-type Break int
+// Stage is the point at which an attempt ended.
+type Stage int
 
 // Points at which an attempt can end.
 const (
 	// BeforeSend: no byte of the request reached a backend server.
-	BeforeSend Break = iota
+	BeforeSend Stage = iota
 	// Refused: the backend server stated that it did not start the request.
 	Refused
 	// Sent: the request was sent and no part of an answer was received.
@@ -27,7 +27,7 @@
 
 // Attempt describes an attempt that has ended.
 type Attempt struct {
-	Break      Break
+	Stage      Stage
 	Idempotent bool
 	Relayed    bool // part of the answer was sent to the caller
 	Resumable  bool // another backend server can continue the answer
@@ -64,7 +64,7 @@
 // Decide returns what follows an attempt. retryAllowed reports whether the limit on
 // attempts, the retry budget and the deadline allow another attempt.
 func Decide(a Attempt, retryAllowed bool) Decision {
-	switch a.Break {
+	switch a.Stage {
 	case Answered:
 		return Decision{Finish, failure.Done, StoreAnswer}
 	case BeforeSend, Refused:
--- a/internal/core/retry/shared_test.go
+++ b/internal/core/retry/shared_test.go
@@ -11,14 +11,14 @@
 // all hosts together stay within the ratio of the requests plus the slack.
 func TestSharedBudgetHolds(t *testing.T) {
 	const window = 10 * time.Second
-	o := SharedOptions{Ratio: 0.2, Slack: 56, Window: window}
+	o := SharedBudgetOptions{Ratio: 0.2, Slack: 56, Window: window}
 	for seed := range int64(200) {
 		rnd := rand.New(rand.NewSource(seed))
 		hosts := 1 + rnd.Intn(30)
 		start := time.Unix(1000, 0)
-		budgets := make([]*Shared, hosts)
+		budgets := make([]*SharedBudget, hosts)
 		for i := range budgets {
-			budgets[i] = NewShared(o, start)
+			budgets[i] = NewSharedBudget(o, start)
 			budgets[i].SetHosts(hosts)
 		}
 		const step = 100 * time.Millisecond
@@ -33,7 +33,7 @@
 				budgets[rnd.Intn(hosts)].Request(now)
 			}
 			for _, b := range budgets {
-				for b.Repeat(now) {
+				for b.Retry(now) {
 					repeats[i]++
 				}
 			}
@@ -56,13 +56,13 @@
 // callers need: at a steady rate, retries reach at least half of the ratio.
 func TestSharedBudgetIsUsed(t *testing.T) {
 	start := time.Unix(1000, 0)
-	b := NewShared(SharedOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, start)
+	b := NewSharedBudget(SharedBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, start)
 	repeats := 0
 	const requests = 2000
 	for i := range requests {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		b.Request(now)
-		for b.Repeat(now) {
+		for b.Retry(now) {
 			repeats++
 		}
 	}
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -17,9 +17,9 @@
 type Query struct {
 	Prefixes     []uint64 // chain of prefix hashes, shortest first
 	PromptTokens float64
-	Away         bool // forwarded by another entry host: only local servers are eligible
-	// Suspicion is the probability (0 to 1) that the request crashes the server that runs it.
-	Suspicion float64
+	Forwarded    bool // forwarded by another entry host: only local servers are eligible
+	// CrashProbability is the probability (0 to 1) that the request crashes the server that runs it.
+	CrashProbability float64
 }
 
 // Server is a usable backend server in the entry host's own failure domain.
@@ -43,7 +43,7 @@
 	WaitMS        float64       // estimated time to first token in that domain for an uncached prompt, in ms
 	Age           time.Duration // age of the summary
 	NetworkMS     float64       // one-way latency, in ms
-	Sent          float64       // this host's forwards in flight to it, beyond those at the time of the summary
+	InFlight      float64       // this host's forwards in flight to it, beyond those at the time of the summary
 	Senders       float64       // number of entry hosts that may forward to it
 	Sticky        bool          // this host forwarded requests to it recently
 }
@@ -62,24 +62,24 @@
 
 // Kinds of decisions.
 const (
-	Nowhere Kind = iota // no target can accept the request now
-	Local               // a backend server in the own failure domain
-	Forward             // an entry host in another failure domain
+	NoTarget Kind = iota // no target can accept the request now
+	Local                // a backend server in the own failure domain
+	Forward              // an entry host in another failure domain
 )
 
 // Decision is the selected target with the candidates it was chosen from.
 type Decision struct {
-	Kind       Kind
-	Server     string  // with Local
-	Domain     string  // with Forward
-	Away       bool    // with Forward: to another region
-	EstimateMS float64 // estimate for the selected target, in ms
-	HomeMS     float64 // lowest-cost local server's estimate, in ms; infinite when there is none
-	Considered []Considered
+	Kind            Kind
+	Server          string  // with Local
+	Domain          string  // with Forward
+	OtherRegion     bool    // with Forward: to another region
+	EstimateMS      float64 // estimate for the selected target, in ms
+	LocalEstimateMS float64 // lowest-cost local server's estimate, in ms; infinite when there is none
+	Considered      []Candidate
 }
 
-// Considered is one candidate with its estimate and the reason it was chosen or rejected.
-type Considered struct {
+// Candidate is one candidate with its estimate and the reason it was chosen or rejected.
+type Candidate struct {
 	Name       string  `json:"name"`
 	EstimateMS float64 `json:"estimate_ms"`
 	Reason     string  `json:"reason"` // "chosen" or why the candidate was rejected
@@ -124,14 +124,14 @@
 // Choose selects a target for the request. awayShare is the fraction of recent
 // requests that were sent to other regions; random returns numbers in [0, 1).
 func Choose(q Query, servers []Server, remotes []Remote, w Weights, awayShare float64, random func() float64) Decision {
-	d := Decision{HomeMS: math.Inf(1)}
+	d := Decision{LocalEstimateMS: math.Inf(1)}
 	best := chooseLocal(q, servers, w, random, &d)
 	if best != nil {
 		d.Kind, d.Server = Local, best.ID
-		d.HomeMS = Estimate(q, *best, w.CacheWeight)
-		d.EstimateMS = d.HomeMS
+		d.LocalEstimateMS = Estimate(q, *best, w.CacheWeight)
+		d.EstimateMS = d.LocalEstimateMS
 	}
-	if !q.Away {
+	if !q.Forwarded {
 		chooseRemote(q, remotes, w, awayShare, &d)
 	}
 	return d
@@ -143,7 +143,7 @@
 	var open []Server
 	for _, s := range servers {
 		if Full(s, w) {
-			d.Considered = append(d.Considered, Considered{s.ID, Estimate(q, s, w.CacheWeight), "queue full"})
+			d.Considered = append(d.Considered, Candidate{s.ID, Estimate(q, s, w.CacheWeight), "queue full"})
 			continue
 		}
 		open = append(open, s)
@@ -152,7 +152,7 @@
 		return nil
 	}
 	candidates := localCandidates(q, open, random)
-	if q.Suspicion > 0 {
+	if q.CrashProbability > 0 {
 		candidates = allIndexes(open) // compare all, to limit the work that a crash would lose
 	}
 	best := -1
@@ -166,7 +166,7 @@
 		if i == best {
 			reason = "chosen"
 		}
-		d.Considered = append(d.Considered, Considered{open[i].ID, Estimate(q, open[i], w.CacheWeight), reason})
+		d.Considered = append(d.Considered, Candidate{open[i].ID, Estimate(q, open[i], w.CacheWeight), reason})
 	}
 	return &open[best]
 }
@@ -175,7 +175,7 @@
 // expected cost of crashing it: the service time of its outstanding requests,
 // weighted by the request's suspicion.
 func expectedCostMS(q Query, s Server, cacheWeight float64) float64 {
-	return Estimate(q, s, cacheWeight) + q.Suspicion*s.Outstanding*s.ServiceMS
+	return Estimate(q, s, cacheWeight) + q.CrashProbability*s.Outstanding*s.ServiceMS
 }
 
 // allIndexes returns the index of each server.
@@ -273,14 +273,14 @@
 		if i == best {
 			reason = "chosen"
 		}
-		d.Considered = append(d.Considered, Considered{r.FailureDomain, estimates[i], reason})
+		d.Considered = append(d.Considered, Candidate{r.FailureDomain, estimates[i], reason})
 	}
 	if best < 0 {
 		return
 	}
 	markLocalRejected(d)
 	d.Kind, d.Domain, d.Server = Forward, remotes[best].FailureDomain, ""
-	d.Away, d.EstimateMS = remotes[best].OtherRegion, estimates[best]
+	d.OtherRegion, d.EstimateMS = remotes[best].OtherRegion, estimates[best]
 }
 
 // markLocalRejected records that the chosen local server lost to another failure domain.
@@ -299,7 +299,7 @@
 func remoteEstimateMS(r Remote, w Weights) float64 {
 	e := r.WaitMS + 2*r.NetworkMS
 	if r.Slots > 0 {
-		over := r.Outstanding + r.Sent*max(1, r.Senders/2) - r.Slots
+		over := r.Outstanding + r.InFlight*max(1, r.Senders/2) - r.Slots
 		e = max(e, e+max(0, over)/r.Slots*r.ServiceMS*0.5)
 	}
 	if r.OtherRegion {
@@ -320,7 +320,7 @@
 	if r.Age > maxSummaryAge {
 		return "summary too old"
 	}
-	if r.Outstanding+r.Sent >= r.Slots*(1+w.QueuePerSlot) {
+	if r.Outstanding+r.InFlight >= r.Slots*(1+w.QueuePerSlot) {
 		return "queue full"
 	}
 	if d.Kind != Local {
@@ -329,14 +329,14 @@
 	if r.OtherRegion && awayShare >= w.Ceiling {
 		return "ceiling of requests sent away"
 	}
-	if r.Sent >= max(1, (r.Slots-r.Outstanding)/max(1, r.Senders)) {
+	if r.InFlight >= max(1, (r.Slots-r.Outstanding)/max(1, r.Senders)) {
 		return "own part of the spare capacity is used"
 	}
 	margin := w.Margin
 	if r.Sticky {
 		margin *= stickyMarginFactor
 	}
-	if estimate >= d.HomeMS*(1-margin) {
+	if estimate >= d.LocalEstimateMS*(1-margin) {
 		return "not better than home by the margin"
 	}
 	return ""
--- a/internal/core/serverload/serverload.go
+++ b/internal/core/serverload/serverload.go
@@ -18,7 +18,7 @@
 	Requests     uint32
 	PromptTokens uint32 // estimated prompt tokens that await prefill
 	MemoryTokens uint32 // estimated tokens in the KV cache
-	ReadingMS    uint32 // prefill time of the prompts sent, in ms per second
+	PrefillMS    uint32 // prefill time of the prompts sent, in ms per second
 	Deferred     uint32 // requests queued behind all others, not counted in Requests
 }
 
@@ -27,13 +27,13 @@
 
 // Plus returns the sum of two loads.
 func (l Load) Plus(m Load) Load {
-	return Load{l.Requests + m.Requests, l.PromptTokens + m.PromptTokens, l.MemoryTokens + m.MemoryTokens, l.ReadingMS + m.ReadingMS, l.Deferred + m.Deferred}
+	return Load{l.Requests + m.Requests, l.PromptTokens + m.PromptTokens, l.MemoryTokens + m.MemoryTokens, l.PrefillMS + m.PrefillMS, l.Deferred + m.Deferred}
 }
 
 // Minus returns the difference of two loads. Where m is larger the unsigned fields wrap around,
 // and adding the result to another load subtracts the difference.
 func (l Load) Minus(m Load) Load {
-	return Load{l.Requests - m.Requests, l.PromptTokens - m.PromptTokens, l.MemoryTokens - m.MemoryTokens, l.ReadingMS - m.ReadingMS, l.Deferred - m.Deferred}
+	return Load{l.Requests - m.Requests, l.PromptTokens - m.PromptTokens, l.MemoryTokens - m.MemoryTokens, l.PrefillMS - m.PrefillMS, l.Deferred - m.Deferred}
 }
 
 // Add adds more to l, key by key.
@@ -65,7 +65,7 @@
 		}
 		counted := Load{
 			min(m.Requests, p.Requests), min(m.PromptTokens, p.PromptTokens), min(m.MemoryTokens, p.MemoryTokens),
-			min(m.ReadingMS, p.ReadingMS), min(m.Deferred, p.Deferred),
+			min(m.PrefillMS, p.PrefillMS), min(m.Deferred, p.Deferred),
 		}
 		if left := m.Minus(counted); left == (Load{}) {
 			delete(out, key)
@@ -76,8 +76,8 @@
 	return out
 }
 
-// Take replaces the loads at the changed keys. A zero load deletes its key.
-func (l Loads) Take(changed Loads) {
+// Apply replaces the loads at the changed keys. A zero load deletes its key.
+func (l Loads) Apply(changed Loads) {
 	for key, m := range changed {
 		if m == (Load{}) {
 			delete(l, key)
@@ -103,7 +103,7 @@
 		m.Requests = append(m.Requests, s.Requests)
 		m.PromptTokens = append(m.PromptTokens, s.PromptTokens)
 		m.MemoryTokens = append(m.MemoryTokens, s.MemoryTokens)
-		m.ReadingMs = append(m.ReadingMs, s.ReadingMS)
+		m.ReadingMs = append(m.ReadingMs, s.PrefillMS)
 		m.Deferred = append(m.Deferred, s.Deferred)
 	}
 	return m
@@ -115,7 +115,7 @@
 	for i, key := range m.GetServer() {
 		out[key] = Load{
 			Requests: valueAt(m.Requests, i), PromptTokens: valueAt(m.PromptTokens, i), MemoryTokens: valueAt(m.MemoryTokens, i),
-			ReadingMS: valueAt(m.ReadingMs, i), Deferred: valueAt(m.Deferred, i),
+			PrefillMS: valueAt(m.ReadingMs, i), Deferred: valueAt(m.Deferred, i),
 		}
 	}
 	return out
--- a/internal/core/serverload/serverload_test.go
+++ b/internal/core/serverload/serverload_test.go
@@ -15,7 +15,7 @@
 		bytes int
 	}{
 		"none": {Loads{}, 0},
-		"two":  {Loads{7: {Requests: 3, PromptTokens: 900, MemoryTokens: 40_000, ReadingMS: 120, Deferred: 1}, 1 << 31: {Requests: 1}}, 36},
+		"two":  {Loads{7: {Requests: 3, PromptTokens: 900, MemoryTokens: 40_000, PrefillMS: 120, Deferred: 1}, 1 << 31: {Requests: 1}}, 36},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := Encode(c.loads)
@@ -39,14 +39,14 @@
 
 func TestAdd(t *testing.T) {
 	sum := Loads{1: {Requests: 1, PromptTokens: 10}}
-	sum.Add(Loads{1: {Requests: 2, MemoryTokens: 5, ReadingMS: 3, Deferred: 4}, 2: {Requests: 7}})
+	sum.Add(Loads{1: {Requests: 2, MemoryTokens: 5, PrefillMS: 3, Deferred: 4}, 2: {Requests: 7}})
 	if want := (Loads{1: {3, 10, 5, 3, 4}, 2: {Requests: 7}}); !maps.Equal(sum, want) {
 		t.Errorf("got %v, want %v", sum, want)
 	}
 }
 
 func TestSub(t *testing.T) {
-	a, b := Loads{1: {3, 10, 5, 3, 4}, 2: {Requests: 7}}, Loads{1: {Requests: 1, Deferred: 1}, 3: {ReadingMS: 2}}
+	a, b := Loads{1: {3, 10, 5, 3, 4}, 2: {Requests: 7}}, Loads{1: {Requests: 1, Deferred: 1}, 3: {PrefillMS: 2}}
 	sum := maps.Clone(a)
 	sum.Add(b)
 	sum.Sub(b)
@@ -70,7 +70,7 @@
 // TestTake replaces, deletes and adds loads.
 func TestTake(t *testing.T) {
 	l := Loads{1: {Requests: 5}, 2: {Requests: 2}}
-	l.Take(Loads{1: {Requests: 4}, 2: {}, 3: {Deferred: 1}, 9: {}})
+	l.Apply(Loads{1: {Requests: 4}, 2: {}, 3: {Deferred: 1}, 9: {}})
 	if want := (Loads{1: {Requests: 4}, 3: {Deferred: 1}}); !maps.Equal(l, want) {
 		t.Errorf("got %v, want %v", l, want)
 	}
--- a/internal/core/speed/speed.go
+++ b/internal/core/speed/speed.go
@@ -51,9 +51,9 @@
 
 // Sample is one observed answer of an engine.
 type Sample struct {
-	Read    float64 // prompt tokens that the engine had to prefill
-	Ahead   float64 // prefill tokens of other prompts queued ahead of it
-	FirstMS float64 // time from the request to the first event, in ms
+	PrefillTokens     float64 // prompt tokens that the engine had to prefill
+	QueuedAheadTokens float64 // prefill tokens of other prompts queued ahead of it
+	FirstEventMS      float64 // time from the request to the first event, in ms
 }
 
 // Estimator holds the estimates of one service. It is not safe for concurrent use.
@@ -75,8 +75,8 @@
 	}
 }
 
-// Rate returns the prefill rate of an engine in tokens per ms.
-func (e *Estimator) Rate() float64 {
+// PrefillTokensPerMS returns the prefill rate of an engine in tokens per ms.
+func (e *Estimator) PrefillTokensPerMS() float64 {
 	return min(maxTokensPerMS, max(minTokensPerMS, 1/e.prefillMSPerToken.value))
 }
 
@@ -91,8 +91,8 @@
 // sum of the times of the requests ahead.
 func (e *Estimator) HoldMS() float64 { return min(maxHoldMS, e.hold.value) }
 
-// End records the time in ms from the first to the last event of an engine's complete answer.
-func (e *Estimator) End(ms float64) {
+// ObserveHold records the time in ms from the first to the last event of an engine's complete answer.
+func (e *Estimator) ObserveHold(ms float64) {
 	if ms > 0 {
 		e.hold.add(min(ms, maxHoldMS))
 	}
@@ -101,22 +101,22 @@
 // Samples returns the number of prefill samples held, for logs and metrics.
 func (e *Estimator) Samples() int { return len(e.prefillMSPerToken.samples) }
 
-// Event records the first event of an engine's answer. It ignores prompts of intermediate size
+// ObserveFirstEvent records the first event of an engine's answer. It ignores prompts of intermediate size
 // and prompts with too much prefill queued ahead.
-func (e *Estimator) Event(s Sample) {
+func (e *Estimator) ObserveFirstEvent(s Sample) {
 	switch {
-	case s.FirstMS <= 0:
-	case s.Read >= minPrefillTokens && s.Ahead <= maxAheadShare*s.Read:
-		if ms := s.FirstMS - e.BeginMS(); ms > 0 {
-			e.prefillMSPerToken.add(ms / (s.Read + s.Ahead))
+	case s.FirstEventMS <= 0:
+	case s.PrefillTokens >= minPrefillTokens && s.QueuedAheadTokens <= maxAheadShare*s.PrefillTokens:
+		if ms := s.FirstEventMS - e.BeginMS(); ms > 0 {
+			e.prefillMSPerToken.add(ms / (s.PrefillTokens + s.QueuedAheadTokens))
 		}
-	case s.Read <= maxShortPromptTokens && s.Ahead <= maxAheadTokens:
-		e.begin.add(max(1, s.FirstMS-(s.Read+s.Ahead)/e.Rate()))
+	case s.PrefillTokens <= maxShortPromptTokens && s.QueuedAheadTokens <= maxAheadTokens:
+		e.begin.add(max(1, s.FirstEventMS-(s.PrefillTokens+s.QueuedAheadTokens)/e.PrefillTokensPerMS()))
 	}
 }
 
-// Answer records the answer time in ms of a plain service that had free slots.
-func (e *Estimator) Answer(ms float64) {
+// ObserveAnswer records the answer time in ms of a plain service that had free slots.
+func (e *Estimator) ObserveAnswer(ms float64) {
 	if ms > 0 {
 		e.answer.add(ms)
 	}
--- a/internal/core/speed/speed_test.go
+++ b/internal/core/speed/speed_test.go
@@ -29,11 +29,11 @@
 				factor := rapid.SampledFrom([]float64{0.3, 4}).Draw(t, "factor")
 				long, short = long*factor, short*factor
 			}
-			est.Event(Sample{Read: read, Ahead: ahead, FirstMS: long})
-			est.Event(Sample{Read: small, FirstMS: short})
+			est.ObserveFirstEvent(Sample{PrefillTokens: read, QueuedAheadTokens: ahead, FirstEventMS: long})
+			est.ObserveFirstEvent(Sample{PrefillTokens: small, FirstEventMS: short})
 		}
-		if off := est.Rate()/e.rate - 1; math.Abs(off) > 0.1 {
-			t.Errorf("rate %.1f, the engine's is %.1f", est.Rate(), e.rate)
+		if off := est.PrefillTokensPerMS()/e.rate - 1; math.Abs(off) > 0.1 {
+			t.Errorf("rate %.1f, the engine's is %.1f", est.PrefillTokensPerMS(), e.rate)
 		}
 		if off := est.BeginMS() - e.begin; math.Abs(off) > 0.1*e.begin+5 {
 			t.Errorf("begin %.1f ms, the engine's is %.1f", est.BeginMS(), e.begin)
@@ -48,11 +48,11 @@
 	for _, rate := range []float64{100, 25, 100} {
 		e := engine{rate, 30}
 		for range sampleWindow {
-			est.Event(Sample{Read: 100, FirstMS: e.firstEventMS(100, 0)})
-			est.Event(Sample{Read: 5000, FirstMS: e.firstEventMS(5000, 0)})
+			est.ObserveFirstEvent(Sample{PrefillTokens: 100, FirstEventMS: e.firstEventMS(100, 0)})
+			est.ObserveFirstEvent(Sample{PrefillTokens: 5000, FirstEventMS: e.firstEventMS(5000, 0)})
 		}
-		if off := est.Rate()/rate - 1; math.Abs(off) > 0.1 {
-			t.Errorf("rate %.1f, the engines' is %.1f", est.Rate(), rate)
+		if off := est.PrefillTokensPerMS()/rate - 1; math.Abs(off) > 0.1 {
+			t.Errorf("rate %.1f, the engines' is %.1f", est.PrefillTokensPerMS(), rate)
 		}
 	}
 }
@@ -60,13 +60,13 @@
 // TestIgnoresUnusableSamples checks that an answer without a time, a prompt of intermediate size
 // and a prompt queued behind others change no estimate.
 func TestIgnoresUnusableSamples(t *testing.T) {
-	for _, s := range []Sample{{Read: 5000}, {Read: 700, FirstMS: 1}, {Read: 5000, Ahead: 4000, FirstMS: 1}, {Read: 10, Ahead: 900, FirstMS: 1}} {
+	for _, s := range []Sample{{PrefillTokens: 5000}, {PrefillTokens: 700, FirstEventMS: 1}, {PrefillTokens: 5000, QueuedAheadTokens: 4000, FirstEventMS: 1}, {PrefillTokens: 10, QueuedAheadTokens: 900, FirstEventMS: 1}} {
 		est := New(0)
 		for range sampleWindow {
-			est.Event(s)
+			est.ObserveFirstEvent(s)
 		}
-		if est.Rate() != New(0).Rate() || est.BeginMS() != initialBeginMS {
-			t.Errorf("%+v moved the estimates to %.1f tokens/ms, %.1f ms", s, est.Rate(), est.BeginMS())
+		if est.PrefillTokensPerMS() != New(0).PrefillTokensPerMS() || est.BeginMS() != initialBeginMS {
+			t.Errorf("%+v moved the estimates to %.1f tokens/ms, %.1f ms", s, est.PrefillTokensPerMS(), est.BeginMS())
 		}
 	}
 }
@@ -75,7 +75,7 @@
 func TestPlainServiceAnswerTime(t *testing.T) {
 	est := New(0)
 	for range minPromptSamples {
-		est.Answer(62)
+		est.ObserveAnswer(62)
 	}
 	if est.AnswerMS() != 62 {
 		t.Errorf("answer time %.1f ms, want 62", est.AnswerMS())
@@ -90,14 +90,14 @@
 		t.Errorf("initial slot time %v ms", got)
 	}
 	for range 200 {
-		e.End(2500)
+		e.ObserveHold(2500)
 	}
 	if got := e.HoldMS(); got < 2400 || got > 2500 {
 		t.Errorf("slot time %v ms after answers of 2,500 ms", got)
 	}
-	e.End(1e9)
+	e.ObserveHold(1e9)
 	if got := e.HoldMS(); got > 2500+maxHoldMS/sampleWindow {
 		t.Errorf("slot time %v ms after one very long answer", got)
 	}
-	e.End(-1)
+	e.ObserveHold(-1)
 }
--- a/test/policy/sim_test.go
+++ b/test/policy/sim_test.go
@@ -196,7 +196,7 @@
 				Region: regionName(r), FailureDomain: regionName(r), MaxWaiting: 20_000, Random: s.rnd.Float64,
 				Limits: backend.Limits{Lease: 3 * time.Second, SlowStart: 10 * time.Second, Lag: 500 * time.Millisecond},
 			})
-			h.state.Table.SetSharers(hostsPerSite)
+			h.state.Table.SetSenders(hostsPerSite)
 			h.state.SetSenders((len(s.scene.servers) - 1) * hostsPerSite)
 			s.hosts = append(s.hosts, h)
 		}
