--- a/internal/core/dispatch/mechanisms_test.go
+++ b/internal/core/dispatch/mechanisms_test.go
@@ -20,11 +20,12 @@
 		t.Errorf("no names: %b, %v", none, f)
 	}
 	if _, f := ParseMechanisms([]string{"copys"}); f == nil {
-		t.Error("an unknown name is taken")
+		t.Error("an unknown name is accepted")
 	}
 }
 
-// TestMechanismsOff: each mechanism that is off no longer moves the choice that it moves.
+// TestMechanismsOff checks that each mechanism changes a choice when enabled and no longer does
+// when disabled.
 func TestMechanismsOff(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -37,18 +38,18 @@
 			f.MarkGone("s1", 0, start)
 		}, func(c Choice) bool { return c.Host != nil }},
 		{"health", Health, func(f *Fleet) {
-			f.TakeView(testView(2), Everything, start)
-			f.servers["s0"].health.errors = decaying{1, start}
+			f.ApplyView(testView(2), FullScope, start)
+			f.servers["s0"].health.errors = decayingMean{1, start}
 		}, func(c Choice) bool { return c.Server != nil && c.Server.ID == "s1" }},
-		{"silence", Silence, func(f *Fleet) {
-			f.TakeView(testView(2), Everything, start)
+		{"silence", StallAvoidance, func(f *Fleet) {
+			f.ApplyView(testView(2), FullScope, start)
 			f.servers["s0"].own.requests, f.servers["s0"].progressAt = 1, start.Add(-time.Minute)
 			f.servers["s1"].own.requests, f.servers["s1"].progressAt = 2, start
 		}, func(c Choice) bool { return c.Server != nil && c.Server.ID == "s1" }},
 		{"own domain first", OwnDomainFirst, func(f *Fleet) {
 			v := testView(2)
 			v.Servers[1].FailureDomain = "w2"
-			f.TakeView(v, Everything, start)
+			f.ApplyView(v, FullScope, start)
 			f.servers["s0"].own.prompt = 1500 // a short wait
 		}, func(c Choice) bool { return c.Server != nil && c.Server.ID == "s0" }},
 	} {
@@ -58,14 +59,14 @@
 				f.o.Off, f.o.Random = off, func() float64 { return 0 }
 				c.set(f)
 				j := shortJob()
-				j.Parts = j.Parts[2:] // nothing shared, so that no engine is a home
+				j.Parts = j.Parts[2:] // no shared parts, so that no engine is a home
 				return f.Choose(j, start)
 			}
 			if on := choose(0); !c.want(on) {
-				t.Errorf("with it: %v", on.Considered)
+				t.Errorf("enabled: %v", on.Considered)
 			}
 			if off := choose(c.off); c.want(off) {
-				t.Errorf("without it: %v", off.Considered)
+				t.Errorf("disabled: %v", off.Considered)
 			}
 		})
 	}
--- a/internal/core/quarantine/bench_test.go
+++ b/internal/core/quarantine/bench_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BenchmarkFingerprint measures what each request pays for being recognised.
+// BenchmarkFingerprint measures the fingerprinting cost of each request by body size.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 800, 12_800} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
@@ -20,7 +20,7 @@
 	}
 }
 
-// BenchmarkServed measures what each answer pays.
+// BenchmarkServed measures the cost of recording an answer.
 func BenchmarkServed(b *testing.B) {
 	t := newTable("h")
 	f := make([]Fingerprint, 4096)
@@ -28,25 +28,25 @@
 		f[n] = request(n)
 	}
 	for n := 0; b.Loop(); n++ {
-		t.Served(f[n%len(f)], start)
+		t.RecordAnswer(f[n%len(f)], start)
 	}
 }
 
-// BenchmarkFullTable reports the memory of a table at its default capacity, and the size of one
-// record in a message.
+// BenchmarkFullTable reports the heap bytes per fingerprint of a table at its default capacity,
+// and the encoded size of one record.
 func BenchmarkFullTable(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	t := New(Options{Host: "h"})
 	for n := range DefaultCapacity {
-		t.endedAt(request(n), 1, start)
+		t.crashAt(request(n), 1, start)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	records, _ := t.Since(0, 1, All, start)
+	records, _ := t.Since(0, 1, AllRecords, start)
 	for b.Loop() {
-		t.Since(t.Revision(), 1, All, start)
+		t.Since(t.Revision(), 1, AllRecords, start)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(t.Len()), "B/request")
 	b.ReportMetric(float64(proto.Size(records[0])), "B/message")
--- a/internal/core/quarantine/breaks.go
+++ b/internal/core/quarantine/breaks.go
@@ -7,61 +7,69 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Start names one process of a server: its ID and what tells its starts apart.
-type Start struct {
-	ID   string
-	Born int64
+// ServerProcess identifies one process of a backend server. Processes that run under the same
+// server ID differ in StartID.
+type ServerProcess struct {
+	ID      string
+	StartID int64
 }
 
-// Key returns the key of the start in evidence.
-func (s Start) Key() uint64 { return xxhash.Sum64String(s.ID + "\x00" + strconv.FormatInt(s.Born, 10)) }
+// Key returns the hash that identifies the process in evidence and peer messages.
+func (s ServerProcess) Key() uint64 {
+	return xxhash.Sum64String(s.ID + "\x00" + strconv.FormatInt(s.StartID, 10))
+}
 
-// breakKept is how long a break waits for proof that the server ended: a crashed server is
-// replaced within that time or not at all.
-const breakKept = 15 * time.Second
+// proofTimeout is how long a break is tracked. A server that crashed is replaced within that time
+// or not at all, so no proof is expected later.
+const proofTimeout = 15 * time.Second
 
-// Break is a start of a server that ended the connections of requests under way.
-type Break struct {
-	Start   Start
+// ConnectionBreak identifies a server process that broke the connections of requests in flight.
+type ConnectionBreak struct {
+	Process ServerProcess
 	Address string
 }
 
-type openBreak struct {
-	Break
-	at       time.Time // of the first request that broke off
-	proved   bool
-	evidence []Evidence
+type trackedBreak struct {
+	ConnectionBreak
+	at       time.Time  // when the first request's connection broke
+	proved   bool       // the process is proved to have crashed
+	evidence []Evidence // the evidence of its requests, until the crash is proved
 }
 
-// Breaks holds the servers that broke off requests until it is known whether their
-// processes ended. A connection alone proves nothing: it may have been reset, or cut.
-// The proofs are that no process listens at the address any more, and that another start was
-// heard under the ID or at the address. A start that is heard again did not end.
+// CrashDetector holds the server processes that broke the connections of requests until it is
+// established whether they crashed. A broken connection alone proves nothing, as it may have
+// been reset or the network may have failed. There are two proofs: that no process listens at
+// the address, and that another process announced itself under the same ID or at the same
+// address. A process that announces itself again did not crash.
 //
-// A wrong proof counts against the requests that were under way, which matters only where
-// three are wrong about the same one; a missing one lets a request end one more server.
-type Breaks struct {
-	open map[Start]*openBreak
-	// aliveAfter is how long after a break a start must be heard to be held alive: earlier
-	// announcements may have been on their way.
+// A false proof counts against the requests that were in flight at the server, which matters
+// only if three are false for the same request. A missing proof lets a request crash one more
+// server before it is quarantined.
+type CrashDetector struct {
+	byProcess map[ServerProcess]*trackedBreak
+	// aliveAfter is the delay after a break from which an announcement shows that the process is
+	// alive. Earlier ones may have been sent before the crash.
 	aliveAfter time.Duration
 }
 
-// announcementsUnderWay is how many announcements of a server may arrive after its end.
-const announcementsUnderWay = 3
+// maxAnnouncementsInFlight is how many announcements of a server may arrive after its process
+// crashed.
+const maxAnnouncementsInFlight = 3
 
-// NewBreaks returns no breaks, of servers that announce themselves at an interval.
-func NewBreaks(announceEvery time.Duration) *Breaks {
-	return &Breaks{open: map[Start]*openBreak{}, aliveAfter: announcementsUnderWay * announceEvery}
+// NewCrashDetector returns an empty detector for servers that announce themselves at the given
+// interval.
+func NewCrashDetector(announceEvery time.Duration) *CrashDetector {
+	return &CrashDetector{byProcess: map[ServerProcess]*trackedBreak{}, aliveAfter: maxAnnouncementsInFlight * announceEvery}
 }
 
-// Add notes that a server broke off a request. It reports whether the end of the server is
-// proved already, so that the evidence counts at once.
-func (b *Breaks) Add(x Break, e Evidence, now time.Time) (proved bool) {
-	o := b.open[x.Start]
+// Add records that a server broke the connection of a request. It reports whether the server's
+// process is already proved to have crashed; the evidence is then not kept, and the caller
+// counts it at once.
+func (b *CrashDetector) Add(x ConnectionBreak, e Evidence, now time.Time) (proved bool) {
+	o := b.byProcess[x.Process]
 	if o == nil {
-		o = &openBreak{Break: x, at: now}
-		b.open[x.Start] = o
+		o = &trackedBreak{ConnectionBreak: x, at: now}
+		b.byProcess[x.Process] = o
 	}
 	if !o.proved {
 		o.evidence = append(o.evidence, e)
@@ -69,14 +77,15 @@
 	return o.proved
 }
 
-// Len returns the number of servers that wait for proof.
-func (b *Breaks) Len() int { return len(b.open) }
+// Len returns the number of server processes recorded, proved to have crashed or not.
+func (b *CrashDetector) Len() int { return len(b.byProcess) }
 
-// Refused takes that no process listens at the server's address. It returns the evidence
-// that is proved by it.
-func (b *Breaks) Refused(s Start) []Evidence { return b.prove(b.open[s]) }
+// ConnectionRefused records that the server's address refused a connection, so that no process
+// listens there. It returns the evidence that this proves.
+func (b *CrashDetector) ConnectionRefused(s ServerProcess) []Evidence { return b.prove(b.byProcess[s]) }
 
-func (b *Breaks) prove(o *openBreak) []Evidence {
+// prove marks the process as crashed and returns its evidence, once.
+func (b *CrashDetector) prove(o *trackedBreak) []Evidence {
 	if o == nil || o.proved {
 		return nil
 	}
@@ -85,33 +94,34 @@
 	return out
 }
 
-// Sighting is a start of a server as its last announcement shows it.
-type Sighting struct {
-	Start   Start
-	Address string
-	HeardAt time.Time
+// Announcement is a server process as described by its last announcement.
+type Announcement struct {
+	Process    ServerProcess
+	Address    string
+	ReceivedAt time.Time
 }
 
-// Heard takes which servers are known now. It returns the evidence that is proved by it, and
-// the keys of starts that were held to have ended and did not.
-func (b *Breaks) Heard(servers []Sighting, now time.Time) (proved []Evidence, alive []uint64) {
-	if len(b.open) == 0 {
+// ObserveAnnouncements compares the breaks with the last announcements of the servers. It
+// returns the evidence that they prove, and the keys of processes that were proved to have
+// crashed but are alive.
+func (b *CrashDetector) ObserveAnnouncements(servers []Announcement, now time.Time) (proved []Evidence, alive []uint64) {
+	if len(b.byProcess) == 0 {
 		return nil, nil
 	}
-	for start, o := range b.open {
+	for process, o := range b.byProcess {
 		for _, s := range servers {
 			switch {
-			case s.Start == start && s.HeardAt.After(o.at.Add(b.aliveAfter)):
+			case s.Process == process && s.ReceivedAt.After(o.at.Add(b.aliveAfter)):
 				if o.proved {
-					alive = append(alive, start.Key())
+					alive = append(alive, process.Key())
 				}
-				delete(b.open, start)
-			case s.Start.ID == start.ID && s.Start != start, s.Address == o.Address && s.Start.ID != start.ID:
+				delete(b.byProcess, process)
+			case s.Process.ID == process.ID && s.Process != process, s.Address == o.Address && s.Process.ID != process.ID:
 				proved = append(proved, b.prove(o)...)
 			}
 		}
-		if now.Sub(o.at) > breakKept {
-			delete(b.open, start)
+		if now.Sub(o.at) > proofTimeout {
+			delete(b.byProcess, process)
 		}
 	}
 	return proved, alive
--- a/internal/core/retry/shared_test.go
+++ b/internal/core/retry/shared_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// TestSharedBudgetHolds lets hosts repeat as often as their budgets allow, under
-// bursts and pauses of requests, and checks every window: the repeats of all
-// hosts together stay below the ratio of the requests plus the slack.
+// TestSharedBudgetHolds lets each host retry as often as its budget allows, under
+// bursts and pauses of requests, and checks for every window that the retries of
+// all hosts together stay within the ratio of the requests plus the slack.
 func TestSharedBudgetHolds(t *testing.T) {
 	const window = 10 * time.Second
-	o := SharedOptions{Ratio: 0.2, Slack: 56, Window: window}
+	o := SharedBudgetOptions{Ratio: 0.2, Slack: 56, Window: window}
 	for seed := range int64(200) {
 		rnd := rand.New(rand.NewSource(seed))
 		hosts := 1 + rnd.Intn(30)
 		start := time.Unix(1000, 0)
-		budgets := make([]*Shared, hosts)
+		budgets := make([]*SharedBudget, hosts)
 		for i := range budgets {
-			budgets[i] = NewShared(o, start)
+			budgets[i] = NewSharedBudget(o, start)
 			budgets[i].SetHosts(hosts)
 		}
 		const step = 100 * time.Millisecond
@@ -33,7 +33,7 @@
 				budgets[rnd.Intn(hosts)].Request(now)
 			}
 			for _, b := range budgets {
-				for b.Repeat(now) {
+				for b.Retry(now) {
 					repeats[i]++
 				}
 			}
@@ -46,27 +46,27 @@
 				again += repeats[i]
 			}
 			if limit := o.Ratio*float64(asked) + o.Slack; float64(again) > limit {
-				t.Fatalf("seed %d, %d hosts: %d repeats in the window from step %d, at most %.0f", seed, hosts, again, from, limit)
+				t.Fatalf("seed %d, %d hosts: %d retries in the window from step %d, want at most %.0f", seed, hosts, again, from, limit)
 			}
 		}
 	}
 }
 
-// TestSharedBudgetIsUsed checks that the budget does not keep back what callers
-// need: at a steady rate about ratioUsed of the ratio is repeated.
+// TestSharedBudgetIsUsed checks that the budget does not withhold retries that
+// callers need: at a steady rate, retries reach at least half of the ratio.
 func TestSharedBudgetIsUsed(t *testing.T) {
 	start := time.Unix(1000, 0)
-	b := NewShared(SharedOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, start)
+	b := NewSharedBudget(SharedBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, start)
 	repeats := 0
 	const requests = 2000
 	for i := range requests {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		b.Request(now)
-		for b.Repeat(now) {
+		for b.Retry(now) {
 			repeats++
 		}
 	}
 	if repeats < requests/10 {
-		t.Errorf("%d repeats for %d requests", repeats, requests)
+		t.Errorf("%d retries for %d requests, want at least a tenth", repeats, requests)
 	}
 }
