--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -93,9 +93,8 @@
 	pprof.Profile(w, r)
 }
 
-// ConfigInForce is the configuration in force on one entry host. After the loss of all
-// control disks, a new generation starts from the latest one found on any entry
-// host.
+// ConfigInForce is the configuration in force on one entry host. After the loss of all control
+// disks, a new generation starts from the latest configuration found on any entry host.
 type ConfigInForce struct {
 	Generation uint64          `json:"generation"`
 	Version    uint64          `json:"version"`
--- a/internal/adapter/journal/journal_test.go
+++ b/internal/adapter/journal/journal_test.go
@@ -290,9 +290,9 @@
 	}
 }
 
-// TestOldSegmentRemovedOnlyAfterDirSync simulates a crash while Open reads a store whose newest segment has
-// directory entries that were never synced. The previous segment must not have been removed,
-// because the power loss discards those entries but may preserve the removal.
+// TestOldSegmentRemovedOnlyAfterDirSync simulates a crash while Open reads a store whose newest
+// segment has directory entries that were never synced. The previous segment must not have been
+// removed, because the power loss discards those entries but may preserve the removal.
 func TestOldSegmentRemovedOnlyAfterDirSync(t *testing.T) {
 	for step := range 4 {
 		m := newFormattedFS(t)
--- a/internal/adapter/peerlink/peerlink_test.go
+++ b/internal/adapter/peerlink/peerlink_test.go
@@ -217,9 +217,9 @@
 	}
 }
 
-// TestConnectRetriesUnansweredAttempt leaves the first connection attempt unanswered, as when its SYN packet
-// is lost or the host is powered off. The second attempt must start when the first one times
-// out, before the operating system would retransmit.
+// TestConnectRetriesUnansweredAttempt leaves the first connection attempt unanswered, as when its
+// SYN packet is lost or the host is powered off. The second attempt must start when the first one
+// times out, before the operating system would retransmit.
 func TestConnectRetriesUnansweredAttempt(t *testing.T) {
 	l := newTestLink(t, "key", "key")
 	dial, attempts := l.client.dialTCP, 0
--- a/internal/app/access/access.go
+++ b/internal/app/access/access.go
@@ -44,8 +44,8 @@
 	return t, nil
 }
 
-// SortByDistance sorts the addresses of control hosts in place, nearest first. Addresses at the same
-// distance are ordered by their rendezvous weight for this host, so that hosts spread their
+// SortByDistance sorts the addresses of control hosts in place, nearest first. Addresses at the
+// same distance are ordered by their rendezvous weight for this host, so that hosts spread their
 // requests over them.
 func SortByDistance(host string, addrs []string, distance func(addr string) int) {
 	slices.SortFunc(addrs, func(a, b string) int {
@@ -56,12 +56,12 @@
 	})
 }
 
-// Options configures a Gate.
+// Options configures a Limiter.
 type Options struct {
 	Peers   port.Peers
 	Request func() *pb.Request // returns a message to another host with the sender's fields set
 	// Issuers returns the addresses of the control hosts that issue units, nearest first; see
-	// Nearest.
+	// SortByDistance.
 	Issuers func() []string
 	Clock   port.Clock
 	Log     logr.Logger
@@ -138,7 +138,7 @@
 	sequence  uint64
 }
 
-// New returns a Gate that holds no units.
+// New returns a Limiter that holds no units.
 func New(o Options) *Limiter {
 	return &Limiter{
 		o: o, epoch: uint64(o.Clock.Now().UnixNano()), holder: quota.NewHolder(), quotaUsed: make(chan struct{}),
--- a/internal/app/control/changes_test.go
+++ b/internal/app/control/changes_test.go
@@ -156,15 +156,15 @@
 }
 
 // listedControls returns the live control hosts on the list that is sent to entry hosts.
-func (f *Fleet) listedControls() (heard []string) {
+func (f *Fleet) listedControls() (live []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.controls {
 		if c.Heard {
-			heard = append(heard, c.Peer)
+			live = append(live, c.Peer)
 		}
 	}
-	return heard
+	return live
 }
 
 // TestOnlyRepresentativeSendsRegionLoads checks that only the representative of a failure domain
--- a/internal/app/control/exchange.go
+++ b/internal/app/control/exchange.go
@@ -144,24 +144,24 @@
 // to it, and for receivers in other regions those of the whole failure domain.
 func (f *Fleet) addHostsLocked(x *pb.ControlExchange, last exchangeCursor, crossRegion bool, now time.Time) {
 	for _, h := range f.reg.Hosts(now) {
-		heardAt := h.SyncedHereAt
+		lastSeen := h.SyncedHereAt
 		switch {
 		case crossRegion && f.reg.SyncedInDomain(h):
-			heardAt = h.LastSeen
+			lastSeen = h.LastSeen
 		case !f.reg.SyncsHere(h, now):
 			continue
 		}
 		switch {
 		case last.hosts == 0 || h.ChangedSince(last.hosts):
-			m := hostMessage(h, heardAt, now)
+			m := hostMessage(h, lastSeen, now)
 			m.Primary = h.Owned()
 			x.Hosts = append(x.Hosts, m)
 		case h.Owned():
 			x.HeardHosts = append(x.HeardHosts, h.Key())
-			x.HeardAges = append(x.HeardAges, ageAndReady(h, heardAt, now))
+			x.HeardAges = append(x.HeardAges, ageAndReady(h, lastSeen, now))
 		default:
 			x.SeenHosts = append(x.SeenHosts, h.Key())
-			x.SeenAges = append(x.SeenAges, ageAndReady(h, heardAt, now))
+			x.SeenAges = append(x.SeenAges, ageAndReady(h, lastSeen, now))
 		}
 	}
 }
@@ -171,8 +171,8 @@
 // include the network delay, so an earlier message that was delayed, for example on a newly opened
 // connection, can appear to be newer. Without this bit a host that is shutting down would count as
 // ready for as long as its lease is renewed.
-func ageAndReady(h *registry.Host, heardAt, now time.Time) uint32 {
-	v := uint32(age(heardAt, now)) << 1
+func ageAndReady(h *registry.Host, lastSeen, now time.Time) uint32 {
+	v := uint32(age(lastSeen, now)) << 1
 	if h.Ready {
 		v++
 	}
@@ -249,11 +249,11 @@
 			f.reg.Leave(s.Id, s.Start, now)
 			continue
 		}
-		heardAt := now.Add(-milliseconds(s.AgeMs))
+		lastSeen := now.Add(-milliseconds(s.AgeMs))
 		f.reg.Announce(registry.Server{
 			ID: s.Id, Start: s.Start, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain, Sequence: s.Sequence,
-			Slots: int(s.Slots), Leaving: s.Leaving, Release: s.Release, LastSeen: heardAt, FirstSeen: now.Add(-milliseconds(s.FirstSeenMs)),
-			ColdUntil: heardAt.Add(milliseconds(s.ColdMs)), Via: x.FailureDomain,
+			Slots: int(s.Slots), Leaving: s.Leaving, Release: s.Release, LastSeen: lastSeen, FirstSeen: now.Add(-milliseconds(s.FirstSeenMs)),
+			ColdUntil: lastSeen.Add(milliseconds(s.ColdMs)), Via: x.FailureDomain,
 		}, now)
 	}
 	f.wakeLocked()
@@ -266,8 +266,8 @@
 	complete = true
 	for i, key := range keys {
 		if i < len(ages) {
-			heardAt := now.Add(-milliseconds(uint64(ages[i] >> 1)))
-			complete = f.reg.RenewHost(key, owned, ages[i]&1 == 1, via, heardAt, now) && complete
+			lastSeen := now.Add(-milliseconds(uint64(ages[i] >> 1)))
+			complete = f.reg.RenewHost(key, owned, ages[i]&1 == 1, via, lastSeen, now) && complete
 		}
 	}
 	return complete
--- a/internal/app/control/quotas.go
+++ b/internal/app/control/quotas.go
@@ -62,7 +62,7 @@
 		}
 		err := r.quotas.save()
 		if err != nil && !failed {
-			r.o.Log.Info("quotas can't be stored; no more units are given out", "reason", err.Error())
+			r.o.Log.Info("quotas cannot be stored; no more units are granted", "reason", err.Error())
 		}
 		failed = err != nil
 	}
@@ -119,7 +119,7 @@
 	}
 	q.shortageLoggedAt[p.Team] = now
 	l := q.issuer.Level(p.Team, now)
-	q.log.Info("quota used up here", "team", p.Team, "host_id", from, "needed", int64(p.Needed), "granted", int64(s.Granted), "more_in_ms", s.MoreInMs,
+	q.log.Info("quota exhausted on this control host", "team", p.Team, "host_id", from, "needed", int64(p.Needed), "granted", int64(s.Granted), "more_in_ms", s.MoreInMs,
 		"size", int64(l.Size), "free", int64(l.Free), "borrowed", int64(l.Borrowed), "lent", int64(l.Lent), "held", int64(l.Held), "back_later", int64(l.PendingReturn), "asked_per_s", int64(l.DemandPerSecond))
 }
 
--- a/internal/app/control/repair_test.go
+++ b/internal/app/control/repair_test.go
@@ -39,8 +39,8 @@
 			caughtUp := m.Id != "d" || at >= joinedAt+catchUpTime
 			st.Replicas = append(st.Replicas, consensus.ReplicaStatus{ID: m.Id, CaughtUp: caughtUp, Learner: m.Learner})
 		}
-		silent := map[string]time.Duration{"lost": at - electionTime}
-		next := consensus.NextMembers(st, live, silent, consensus.RepairLimits{MaxVoters: maxVoters, LostAfter: lostAfter})
+		sinceContact := map[string]time.Duration{"lost": at - electionTime}
+		next := consensus.NextMembers(st, live, sinceContact, consensus.RepairLimits{MaxVoters: maxVoters, LostAfter: lostAfter})
 		if next != nil {
 			members = next
 			at += commitTime
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -7,15 +7,15 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// StoreRetryInterval is the pause between attempts to reopen a failed store: a fraction of the time after
-// which a lost voter is replaced, with few writes to a failing disk.
+// StoreRetryInterval is the pause between attempts to reopen a failed store: a fraction of the time
+// after which a lost voter is replaced, with few writes to a failing disk.
 const StoreRetryInterval = 500 * time.Millisecond
 
 // halt takes the replica out of the group: pending calls and later ones fail with f.
 func (r *Replica) halt(f *failure.Error) {
 	r.halted.Store(f)
 	r.failWaiters(f)
-	r.o.Log.Info("store failed; the replica takes no part in the group", "reason", f.Detail, "code", string(f.Code))
+	r.o.Log.Info("store failed; replica halted", "reason", f.Detail, "code", string(f.Code))
 }
 
 // recoverStore waits until the store can be reopened and restarts the replica from it. As after a
@@ -41,7 +41,7 @@
 			continue
 		}
 		r.halted.Store(nil)
-		r.o.Log.Info("store opened anew; the replica takes part in the group again", "out_ms", r.o.Clock.Now().Sub(began).Milliseconds())
+		r.o.Log.Info("store reopened; replica resumed", "out_ms", r.o.Clock.Now().Sub(began).Milliseconds())
 		return true
 	}
 }
--- a/internal/app/control/verdicts.go
+++ b/internal/app/control/verdicts.go
@@ -77,7 +77,7 @@
 	return r.verdicts.table.Since(revision, limit, wanted, r.o.Clock.Now())
 }
 
-// Quarantine returns the requests under which more than one server ended.
+// Quarantine returns the requests that crashed more than one server.
 func (r *Replica) Quarantine() []quarantine.Entry {
 	r.verdicts.mu.Lock()
 	defer r.verdicts.mu.Unlock()
@@ -141,7 +141,7 @@
 	r.verdicts.table.RemoveExpired(r.o.Clock.Now())
 }
 
-// persistNewVerdicts adds to the log the verdicts that are not in it yet, and further server ends
+// persistNewVerdicts adds to the log the verdicts that are not in it yet, and further crashes
 // of those that are.
 func (r *Replica) persistNewVerdicts(ctx context.Context) {
 	r.verdicts.mu.Lock()
@@ -157,7 +157,7 @@
 		_, err := r.Change(ctx, &pb.Command{Quarantine: m})
 		cancel()
 		if err != nil {
-			r.o.Log.Info("verdict not kept yet", "reason", err.Error())
+			r.o.Log.Info("verdict not persisted yet", "reason", err.Error())
 			return
 		}
 	}
--- a/internal/app/control/view.go
+++ b/internal/app/control/view.go
@@ -27,7 +27,7 @@
 		Ready: h.GetReady(), LastSeen: now, Direct: true, Primary: m.Primary, Loads: serverload.Decode(m.Loads),
 	}, now)
 	if updated {
-		f.o.Log.Info("entry host presented itself", "host_id", h.GetId(), "caller", h.GetCaller(), "ready", h.GetReady())
+		f.o.Log.Info("entry host added or changed", "host_id", h.GetId(), "caller", h.GetCaller(), "ready", h.GetReady())
 	}
 	if f.replica.mergeVerdicts(m.Quarantine, h.GetId()) {
 		f.reg.BumpVersion()
@@ -166,10 +166,10 @@
 	return out
 }
 
-func hostMessage(h *registry.Host, heardAt, now time.Time) *pb.FleetHost {
+func hostMessage(h *registry.Host, lastSeen, now time.Time) *pb.FleetHost {
 	return &pb.FleetHost{
 		Id: h.ID, Peer: h.Peer, Caller: h.Caller, Region: h.Region, FailureDomain: h.FailureDomain, Ready: h.Ready,
-		AgeMs: age(heardAt, now),
+		AgeMs: age(lastSeen, now),
 	}
 }
 
--- a/internal/app/crashwatch/crashwatch.go
+++ b/internal/app/crashwatch/crashwatch.go
@@ -44,7 +44,7 @@
 
 	mu       sync.Mutex
 	table    *quarantine.Table
-	breaks   *quarantine.CrashDetector
+	detector *quarantine.CrashDetector
 	checks   map[quarantine.ServerProcess]*check
 	onChange func()
 }
@@ -58,7 +58,7 @@
 // New returns a Watch without records.
 func New(o Options) *Watch {
 	return &Watch{
-		o: o, table: quarantine.New(o.Quarantine), breaks: quarantine.NewCrashDetector(o.AnnounceEvery),
+		o: o, table: quarantine.New(o.Quarantine), detector: quarantine.NewCrashDetector(o.AnnounceEvery),
 		checks: map[quarantine.ServerProcess]*check{},
 	}
 }
@@ -81,13 +81,13 @@
 	if j.Verdict != quarantine.Quarantined && j.Verdict != quarantine.Busy {
 		return j, nil
 	}
-	w.o.Log.Info("request refused as a crashing one", "request_id", requestID, "fingerprint", f.String(), "verdict", j.Verdict.String(), "ends", j.ServerCrashes)
+	w.o.Log.Info("request refused as crashing", "request_id", requestID, "fingerprint", f.String(), "verdict", j.Verdict.String(), "ends", j.ServerCrashes)
 	if j.Verdict == quarantine.Quarantined {
 		w.o.Metrics.Add("refused_quarantined", 1)
-		return j, failure.New(failure.Quarantined, failure.NotRun, "%d servers ended while running the request; fingerprint %s", j.ServerCrashes, f)
+		return j, failure.New(failure.Quarantined, failure.NotRun, "%d servers crashed while running the request; fingerprint %s", j.ServerCrashes, f)
 	}
 	w.o.Metrics.Add("refused_suspected", 1)
-	return j, failure.New(failure.Suspected, failure.NotRun, "%d servers ended while running the request, and the verdict is pending; fingerprint %s", j.ServerCrashes, f).
+	return j, failure.New(failure.Suspected, failure.NotRun, "%d servers crashed while running the request, and the verdict is pending; fingerprint %s", j.ServerCrashes, f).
 		WithRetryAfter(busyRetryAfter)
 }
 
@@ -112,12 +112,12 @@
 	}
 }
 
-// RecordBreak records that a server broke the connection of a request. It blocks until the server has
-// been probed, unless its process is already proved to have ended.
+// RecordBreak records that a server broke the connection of a request. It blocks until the server
+// has been probed, unless its process is already proved to have ended.
 func (w *Watch) RecordBreak(b quarantine.ConnectionBreak, e quarantine.Evidence) {
 	e.Server = b.Process.Key()
 	w.mu.Lock()
-	if w.breaks.Add(b, e, w.o.Clock.Now()) {
+	if w.detector.Add(b, e, w.o.Clock.Now()) {
 		w.countLocked([]quarantine.Evidence{e}, "the server's process has ended")
 		w.mu.Unlock()
 		return
@@ -147,7 +147,7 @@
 		time.Sleep(recheckDelay)
 		answer = w.probe(b)
 	}
-	w.o.Log.Info("server checked after it broke off requests", "server", b.Process.ID, "start", b.Process.StartID, "address", b.Address, "listening", answer.String())
+	w.o.Log.Info("server checked after broken connections", "server", b.Process.ID, "start", b.Process.StartID, "address", b.Address, "listening", answer.String())
 	time.AfterFunc(checkValidity, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -169,7 +169,7 @@
 	if answer == port.Refuses {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.countLocked(w.breaks.ConnectionRefused(b.Process), "no process listens at the server's address")
+		w.countLocked(w.detector.ConnectionRefused(b.Process), "no process listens at the server's address")
 	}
 	return answer
 }
@@ -178,21 +178,21 @@
 func (w *Watch) Idle() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.breaks.Len() == 0 && w.table.Len() == 0
+	return w.detector.Len() == 0 && w.table.Len() == 0
 }
 
-// ObserveAnnouncements compares the records with the servers' last announcements. Another process under a
-// server's ID or at its address proves that the server ended; a later announcement of the same
-// process disproves it.
+// ObserveAnnouncements compares the records with the servers' last announcements. Another process
+// under a server's ID or at its address proves that the server's process has ended; a later
+// announcement of the same process disproves it.
 func (w *Watch) ObserveAnnouncements(servers []quarantine.Announcement) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.o.Clock.Now()
-	proved, alive := w.breaks.ObserveAnnouncements(servers, now)
+	proved, alive := w.detector.ObserveAnnouncements(servers, now)
 	w.countLocked(proved, "another process announced itself under the server's ID or at its address")
 	for _, key := range alive {
 		for _, f := range w.table.RecordAlive(key, now) {
-			w.o.Log.Info("evidence taken back", "fingerprint", f.String(), "server_key", key, "reason", "the server announced itself again")
+			w.o.Log.Info("evidence withdrawn", "fingerprint", f.String(), "server_key", key, "reason", "the server announced itself again")
 		}
 	}
 	w.table.RemoveExpired(now)
--- a/internal/app/entry/host.go
+++ b/internal/app/entry/host.go
@@ -50,8 +50,8 @@
 	MaxBody         int64
 	MaxExplained    int
 
-	// CrashWatch detects requests that crash servers. If nil, New creates one that asks no server
-	// whether its process has ended.
+	// CrashWatch detects requests that crash servers. If nil, New creates one without a probe,
+	// which does not check whether a server's process has ended.
 	CrashWatch *crashwatch.Watch
 	Peers      port.Peers
 	CloseLink  func(addr string) // closes the link to a dead host; may be nil
@@ -67,7 +67,7 @@
 const (
 	suspectFactor        = 4 // probe intervals from suspicion to death
 	slowStart            = 10 * time.Second
-	assumedLag           = 500 * time.Millisecond // of backend servers' load figures
+	assumedLag           = 500 * time.Millisecond // of backend servers' load reports
 	maxWaiting           = 20_000
 	housekeepingInterval = 250 * time.Millisecond
 	drainPollInterval    = 20 * time.Millisecond
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -242,7 +242,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return false, failure.New(failure.InProgress, failure.Unknown, "the first request with this key is still under way").
+			return false, failure.New(failure.InProgress, failure.Unknown, "the first request with this key is still in flight").
 				WithRetryAfter(time.Second)
 		case <-time.After(attachPollInterval):
 		}
--- a/internal/app/entry/probe.go
+++ b/internal/app/entry/probe.go
@@ -118,7 +118,7 @@
 	now := h.o.Clock.Now()
 	if h.members.Merge(p.Updates, now) {
 		h.o.Metrics.Add("held_dead", 1)
-		h.o.Log.Info("held dead by a neighbour; refuted", "by", req.From, "incarnation", h.members.Incarnation())
+		h.o.Log.Info("held dead by another entry host; refuted", "by", req.From, "incarnation", h.members.Incarnation())
 	}
 	h.members.RecordContact(req.From, req.Incarnation, p.Draining, now)
 	return &pb.ProbeAck{Updates: h.members.Updates(req.From), Draining: h.draining.Load()}
--- a/internal/app/gateway/controlhosts.go
+++ b/internal/app/gateway/controlhosts.go
@@ -28,11 +28,11 @@
 // controlHost is the state of one control host. The fields up to idleSince are guarded by the
 // list's mutex; the others belong to the goroutine that syncs with the control host.
 type controlHost struct {
-	addr       string
-	domain     string // its failure domain; "" until known
-	named      bool   // other control hosts report that it is alive
-	avoidUntil time.Time
-	syncing    bool // a goroutine runs syncLoop for it
+	addr         string
+	domain       string // its failure domain; "" until known
+	reportedLive bool   // other control hosts report that it is alive
+	avoidUntil   time.Time
+	syncing      bool // a goroutine runs syncLoop for it
 	// idleSince is when the last syncLoop for it returned; zero if its link was closed since.
 	idleSince time.Time
 
@@ -91,13 +91,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, h := range c.byAddr {
-		h.named = false
+		h.reportedLive = false
 	}
 	c.listed = c.listed[:0]
 	for _, m := range list {
 		c.listed = append(c.listed, m.Peer)
 		h := c.hostLocked(m.Peer)
-		h.named = m.Heard
+		h.reportedLive = m.Heard
 		if m.FailureDomain != "" {
 			h.domain = m.FailureDomain
 		}
@@ -146,7 +146,7 @@
 		if h.domain != "" && !c.answers.ShouldQuery(g.distance(h.domain), configured, age, now) {
 			continue
 		}
-		candidates = append(candidates, controlhosts.Candidate{Address: addr, Domain: h.domain, ReportedLive: h.named, AvoidUntil: h.avoidUntil})
+		candidates = append(candidates, controlhosts.Candidate{Address: addr, Domain: h.domain, ReportedLive: h.reportedLive, AvoidUntil: h.avoidUntil})
 	}
 	var out []*controlHost
 	for _, chosen := range controlhosts.Choose(g.o.Host, candidates, now) {
@@ -218,12 +218,12 @@
 	return syncRetryDelay
 }
 
-// steadyCheckInterval is shorter than controlhosts.Lost, the time without an answer after which
-// farther control hosts are queried.
+// steadyCheckInterval is shorter than controlhosts.ContactTimeout, the time without an answer
+// after which farther control hosts are queried.
 const steadyCheckInterval = 900 * time.Millisecond
 
 // avoid gives the other control hosts of the same failure domain precedence over one for
-// controlhosts.Avoid.
+// controlhosts.AvoidDuration.
 func (c *controlList) avoid(h *controlHost, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,7 +231,7 @@
 }
 
 // isPrimary reports whether a control host is this host's primary, which alone receives its
-// loads; see controlhosts.Heard.
+// loads; see controlhosts.Contacts.ClaimPrimary.
 func (g *Gateway) isPrimary(h *controlHost) bool {
 	g.control.mu.Lock()
 	defer g.control.mu.Unlock()
--- a/internal/app/gateway/staleness.go
+++ b/internal/app/gateway/staleness.go
@@ -10,23 +10,23 @@
 
 // controlLogState is the state of a control host as of its last log line.
 type controlLogState struct {
-	contacted, silent, stale bool
+	contacted, unanswered, stale bool
 }
 
 // logControl logs that a control host answers for the first time, stops answering, answers
 // again, becomes out of date, or is up to date again.
 func (g *Gateway) logControl(logged *controlLogState, addr string, view *pb.FleetView, err error) {
 	if err != nil {
-		if logged.contacted && !logged.silent {
-			g.o.Log.Info("control host silent", "peer", addr, "reason", err.Error(), "config_version", g.Version())
+		if logged.contacted && !logged.unanswered {
+			g.o.Log.Info("control host did not answer", "peer", addr, "reason", err.Error(), "config_version", g.Version())
 		}
-		logged.silent = logged.contacted
+		logged.unanswered = logged.contacted
 		return
 	}
-	if !logged.contacted || logged.silent {
-		g.o.Log.Info("control host heard", "peer", addr, "failure_domain", view.HomeDomain, "staleness_ms", view.StalenessMs)
+	if !logged.contacted || logged.unanswered {
+		g.o.Log.Info("control host answered", "peer", addr, "failure_domain", view.HomeDomain, "staleness_ms", view.StalenessMs)
 	}
-	logged.contacted, logged.silent = true, false
+	logged.contacted, logged.unanswered = true, false
 	stale := milliseconds(view.StalenessMs) > controlhosts.MaxStaleness
 	if stale == logged.stale {
 		return
--- a/internal/app/gateway/startup_test.go
+++ b/internal/app/gateway/startup_test.go
@@ -43,22 +43,22 @@
 	}
 }
 
-// TestStartHearsTheRegionsControlHosts checks that a host without a configuration also queries its
+// TestStartQueriesRegionsControlHosts checks that a host without a configuration also queries its
 // region's other control hosts while the one of its failure domain answers, as that one may have
 // no configuration itself. Those of other regions are queried only if none of its region answers.
-func TestStartHearsTheRegionsControlHosts(t *testing.T) {
+func TestStartQueriesRegionsControlHosts(t *testing.T) {
 	f := newStartingFixture(t)
 	f.g.control.answers.RecordAnswer("c", controlhosts.SameDomain, 0, f.clock.Now())
-	if f.g.asks(controlhosts.SameRegion) {
+	if f.g.shouldQuery(controlhosts.SameRegion) {
 		t.Error("other control hosts are queried before the nearest one had time to answer")
 	}
 	f.clock.advance(time.Second)
-	if !f.g.asks(controlhosts.SameRegion) || f.g.asks(controlhosts.OtherRegion) {
+	if !f.g.shouldQuery(controlhosts.SameRegion) || f.g.shouldQuery(controlhosts.OtherRegion) {
 		t.Errorf("without a configuration the region's other control hosts are queried: %v, those of other regions: %v",
-			f.g.asks(controlhosts.SameRegion), f.g.asks(controlhosts.OtherRegion))
+			f.g.shouldQuery(controlhosts.SameRegion), f.g.shouldQuery(controlhosts.OtherRegion))
 	}
 	f.install(7, baseRecord())
-	if f.g.asks(controlhosts.SameRegion) {
+	if f.g.shouldQuery(controlhosts.SameRegion) {
 		t.Error("the region's other control hosts are queried although a nearer one answers")
 	}
 }
@@ -100,8 +100,8 @@
 	return g.startup.Waiting()
 }
 
-// asks reports whether control hosts at a distance are to be queried now.
-func (g *Gateway) asks(d controlhosts.Distance) bool {
+// shouldQuery reports whether control hosts at a distance are to be queried now.
+func (g *Gateway) shouldQuery(d controlhosts.Distance) bool {
 	now := g.o.Clock.Now()
 	configured, age := g.config.Load() != nil, g.startup.Age(now)
 	g.control.mu.Lock()
--- a/internal/app/gateway/teams.go
+++ b/internal/app/gateway/teams.go
@@ -47,7 +47,7 @@
 			return c, route, nil, f
 		}
 		if !g.awaitConfigConfirmed(ctx, r) {
-			return c, route, nil, notRun(failure.NotReady, refusedRetryAfter, "no team holds the key in version %d, and no control host tells whether that is the newest", c.Stamp.Version)
+			return c, route, nil, notRun(failure.NotReady, refusedRetryAfter, "no team holds the key in version %d, and no control host reports whether that is the newest", c.Stamp.Version)
 		}
 	}
 }
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -61,7 +61,7 @@
 type connKey struct{}
 
 // handleDraining returns a handler that closes the connection after each answer that begins
-// while the server drains, and passes requests that were sent too late to TooLate.
+// while the server drains, and passes requests that were sent too late to LateHandler.
 func (s *CallerServer) handleDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.draining.Load() {
@@ -107,7 +107,7 @@
 // StartDraining makes each answer close its connection. Requests are still accepted.
 func (s *CallerServer) StartDraining() { s.draining.Store(true) }
 
-// idlePollInterval is the interval at which a finishing server looks for connections that became idle.
+// idlePollInterval is the interval at which a finishing server checks for idle connections.
 const idlePollInterval = 10 * time.Millisecond
 
 // Finish accepts the connections that are waiting already and no others, answers the requests
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -87,8 +87,8 @@
 	Body(size, limit uint64) ([]byte, error)
 	// Send sends a frame of the answer.
 	Send(*pb.ForwardFrame) error
-	// CancelOnClose returns a context that ends when the other host closes the stream. The stream must not
-	// be read afterwards.
+	// CancelOnClose returns a context that is canceled when the other host closes the stream. The
+	// stream must not be read afterwards.
 	CancelOnClose(context.Context) (context.Context, context.CancelFunc)
 }
 
