--- a/internal/app/gateway/source_test.go
+++ b/internal/app/gateway/source_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestOwnWorkIsNotOthers checks that a host's own loads are subtracted from the control host's
+// TestOwnLoadsAreSubtracted checks that a host's own loads are subtracted from the control host's
 // sum. The sum may lack them if another control host has become the primary meanwhile.
-func TestOwnWorkIsNotOthers(t *testing.T) {
+func TestOwnLoadsAreSubtracted(t *testing.T) {
 	s := &viewState{loads: serverload.Loads{1: {Requests: 3}, 2: {Requests: 1}}}
 	got := s.otherLoads(serverload.Loads{1: {Requests: 1}, 2: {Requests: 2}, 3: {Requests: 5}})
 	if want := (serverload.Loads{1: {Requests: 2}}); !maps.Equal(got, want) {
