--- a/internal/app/access/access.go
+++ b/internal/app/access/access.go
@@ -68,18 +68,17 @@
 	Metrics port.Metrics
 }
 
-// Intervals and time limits of the requests for units.
+// Intervals and time limits of asks, the messages that request units from control hosts.
 const (
 	// renewInterval is the interval at which held and expected units are reported.
 	renewInterval = 200 * time.Millisecond
-	// askTimeout bounds one exchange with a control host; it allows for a round trip to another
-	// region.
+	// askTimeout bounds one ask to a control host; it allows for a round trip to another region.
 	askTimeout = 400 * time.Millisecond
 	// hedgeDelay is the time without an answer after which one more control host is asked.
 	hedgeDelay = 40 * time.Millisecond
 	// maxWait bounds how long a request waits for units.
 	maxWait = 450 * time.Millisecond
-	// failedAskBackoff is how long a control host is skipped after an exchange with it failed.
+	// failedAskBackoff is how long a control host is skipped after an ask to it failed.
 	failedAskBackoff = time.Second
 	// maxRefusalWindow bounds how long a team's requests are refused without asking, after the
 	// control hosts had too few units for one of the same size or smaller.
--- a/internal/app/control/repair.go
+++ b/internal/app/control/repair.go
@@ -15,11 +15,11 @@
 	repairInterval = 300 * time.Millisecond
 	// repairStepTimeout limits the time to commit one step.
 	repairStepTimeout = 3 * time.Second
-	// lostAfter is how long a voter must send nothing before a caught-up learner replaces it. It is
-	// longer than a restart, which takes 1.0 to 1.6 s. It is short enough that the successor of a
-	// lost host can vote 4 s after its start; otherwise the group does not survive the loss of
-	// another disk. An election and four repair steps take up to 2 s of these. A voter that returns
-	// later joins again, which costs one snapshot transfer.
+	// lostAfter is how long a voter must leave the leader's messages unanswered before a caught-up
+	// learner replaces it. It is longer than a restart, which takes 1.0 to 1.6 s. It is short enough
+	// that the successor of a lost host can vote 4 s after its start; otherwise the group does not
+	// survive the loss of another disk. An election and four repair steps take up to 2 s of these
+	// 4 s. A voter that returns later joins again, which costs one snapshot transfer.
 	lostAfter = 2 * time.Second
 	// maxVoters lets the group survive the loss of any two control hosts.
 	maxVoters = 5
--- a/internal/app/crashwatch/crashwatch.go
+++ b/internal/app/crashwatch/crashwatch.go
@@ -92,7 +92,7 @@
 }
 
 // busyRetryAfter is the time after which to repeat a request whose verdict is Busy: by then most
-// attempts in progress have been answered or have crashed their server.
+// attempts in flight have been answered or have crashed their server.
 const busyRetryAfter = time.Second
 
 // Finish records the end of an attempt.
--- a/internal/app/entry/crashes.go
+++ b/internal/app/entry/crashes.go
@@ -28,10 +28,10 @@
 // caller that canceled, a deadline, a stall, and a server that was shutting down are not.
 func (h *Host) reportToCrashWatch(ctx context.Context, x *execution, b quarantine.ConnectionBreak, res result) {
 	switch {
-	case res.point == retry.Answered:
+	case res.stage == retry.Answered:
 		h.o.CrashWatch.RecordAnswer(x.fingerprint)
 		return
-	case ctx.Err() != nil, res.connected, res.point != retry.Sent && res.point != retry.MidAnswer:
+	case ctx.Err() != nil, res.connected, res.stage != retry.Sent && res.stage != retry.MidAnswer:
 		return
 	}
 	h.mu.Lock()
@@ -75,9 +75,9 @@
 	return &crashSync{wake: make(chan struct{}, 1), peers: map[string]*crashPeer{}}
 }
 
-// crashPeer is the state of the exchange with one other host: the revision of this host's
-// records up to which it has received them and, for a control host, the epoch of its log and
-// the position in it up to which this host has received it.
+// crashPeer is the state of synchronization with one other host: the revision up to which that
+// host has received this host's records and, for a control host, the epoch of its log and the
+// position in it up to which this host has received it.
 type crashPeer struct {
 	inFlight        bool
 	sentAll         bool
@@ -85,8 +85,8 @@
 	epoch, position uint64
 }
 
-// begin returns the state of a peer and marks an exchange with it as in flight. It returns nil
-// if one is in flight already.
+// begin returns the state of a peer and marks a call to it as in flight. It returns nil if one is
+// in flight already.
 func (n *crashSync) begin(addr string) *crashPeer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,8 +110,8 @@
 
 // syncCrashRecords sends this host's crash records to the live hosts of the failure domain and
 // to the control hosts, and asks one control host in turn for the records of other hosts.
-// Control hosts combine what is seen in different failure domains; within one, hosts exchange
-// their records directly.
+// Control hosts combine the records of different failure domains; within one, hosts send each
+// other their records directly.
 func (h *Host) syncCrashRecords(ctx context.Context) {
 	v := h.config.Load()
 	if v == nil {
--- a/internal/app/entry/execute.go
+++ b/internal/app/entry/execute.go
@@ -113,7 +113,7 @@
 
 // result describes how an attempt ended.
 type result struct {
-	point     retry.Stage
+	stage     retry.Stage
 	err       *failure.Error
 	connected bool // the server or entry host did not fail, whatever the outcome
 }
@@ -142,7 +142,7 @@
 			return nil // the stream is complete, whatever happened after its last event
 		}
 		d := retry.Decide(retry.Attempt{
-			Stage: res.point, Idempotent: x.r.Idempotent,
+			Stage: res.stage, Idempotent: x.r.Idempotent,
 			Relayed: x.headSent || x.r.Resume > 0, Resumable: x.r.Stream,
 		}, h.mayRetry(ctx, x, res))
 		if d.Action == retry.Finish {
@@ -181,7 +181,7 @@
 	if ctx.Err() != nil || x.attempts >= x.view.Record.Policy.MaxAttempts {
 		return false
 	}
-	if res.point == retry.Answered {
+	if res.stage == retry.Answered {
 		return true
 	}
 	if res.err != nil && (res.err.Code == failure.Quarantined || res.err.Code == failure.Suspected) {
--- a/internal/app/entry/explain.go
+++ b/internal/app/entry/explain.go
@@ -104,8 +104,8 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	a := ExplainAttempt{Number: number, To: p.ServerID, Region: p.Region, Connect: res.connected, MS: x.clock().Sub(p.Started).Milliseconds()}
-	a.Result = [...]string{"not sent", "refused", "sent, no answer", "answer broke off", "answered"}[res.point]
-	if res.err != nil && res.point != retry.Answered {
+	a.Result = [...]string{"not sent", "refused", "sent, no answer", "answer broke off", "answered"}[res.stage]
+	if res.err != nil && res.stage != retry.Answered {
 		a.Result += ": " + res.err.Detail
 	}
 	x.Attempts = append(x.Attempts, a)
--- a/internal/app/entry/forward.go
+++ b/internal/app/entry/forward.go
@@ -26,7 +26,7 @@
 	v := h.config.Load()
 	if !residency.Allowed(v.Record, x.r.residencyQuery(), p.Region) {
 		return result{
-			point: retry.BeforeSend, connected: true,
+			stage: retry.BeforeSend, connected: true,
 			err: failure.New(failure.Residency, failure.NotRun, "the residency rules do not allow region %s any more", p.Region),
 		}
 	}
@@ -36,11 +36,11 @@
 	req.Body = &pb.Request_Forward{Forward: h.forwardMessage(x)}
 	stream, sent, err := h.o.Peers.Open(ctx, p.Address, req, x.r.Body)
 	if err != nil {
-		point := retry.BeforeSend
+		stage := retry.BeforeSend
 		if sent {
-			point = retry.Sent
+			stage = retry.Sent
 		}
-		return result{point: point, err: failure.As(err, failure.Unknown)}
+		return result{stage: stage, err: failure.As(err, failure.Unknown)}
 	}
 	defer func() { _ = stream.Close() }()
 	return h.readForward(ctx, x, p, stream, stall)
@@ -59,12 +59,12 @@
 	for {
 		frame, err := stream.Recv()
 		if err != nil {
-			point := retry.Sent
+			stage := retry.Sent
 			if headed {
-				point = retry.MidAnswer
+				stage = retry.MidAnswer
 			}
 			return result{
-				point: point, connected: callerCanceled(ctx),
+				stage: stage, connected: callerCanceled(ctx),
 				err: failure.New(failure.PeerUnreachable, failure.Unknown, "the link to %s broke off: %s", p.ServerID, err),
 			}
 		}
@@ -111,18 +111,18 @@
 				return sinkFailed(err)
 			}
 		}
-		return result{point: retry.Answered, connected: true}
+		return result{stage: retry.Answered, connected: true}
 	}
 	f := failure.New(failure.Code(end.Code), failure.Outcome(end.Outcome), "%s", end.Detail)
 	f.RetryAfter = time.Duration(end.RetryAfterMs) * time.Millisecond
-	point := retry.Sent
+	stage := retry.Sent
 	switch {
 	case headed:
-		point = retry.MidAnswer
+		stage = retry.MidAnswer
 	case f.Outcome == failure.NotRun:
-		point = retry.Refused
+		stage = retry.Refused
 	}
-	return result{point: point, err: f, connected: true}
+	return result{stage: stage, err: f, connected: true}
 }
 
 func (h *Host) forwardMessage(x *execution) *pb.Forward {
--- a/internal/app/entry/local.go
+++ b/internal/app/entry/local.go
@@ -41,15 +41,15 @@
 		ResumeTokens: x.relayed, AttemptID: x.r.ID + "." + strconv.Itoa(x.attempts),
 	})
 	if err != nil {
-		point := retry.BeforeSend
+		stage := retry.BeforeSend
 		if sent {
-			point = retry.Sent
+			stage = retry.Sent
 		}
-		return result{point: point, err: failure.As(err, failure.Unknown), connected: callerCanceled(ctx)}
+		return result{stage: stage, err: failure.As(err, failure.Unknown), connected: callerCanceled(ctx)}
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if f := refusalOf(x, answer); f != nil {
-		return result{point: retry.Refused, err: f, connected: true}
+		return result{stage: retry.Refused, err: f, connected: true}
 	}
 	hd := Head{Status: answer.Status, Header: forwardableHeaders(answer.Header), Region: h.o.Region, Server: p.ServerID}
 	stall.Reset(h.o.StallTimeout)
@@ -59,7 +59,7 @@
 	if x.headSent || x.r.Resume > 0 {
 		// The caller has received part of a stream: only its continuation can follow.
 		f := failure.New(failure.BackendRefused, failure.NotRun, "the server answered %d instead of the rest of the stream", answer.Status)
-		return result{point: retry.Refused, err: f, connected: true}
+		return result{stage: retry.Refused, err: f, connected: true}
 	}
 	return h.relayWhole(ctx, x, answer.Body, hd, stall)
 }
@@ -83,12 +83,12 @@
 func (h *Host) relayWhole(ctx context.Context, x *execution, body io.Reader, hd Head, stall *time.Timer) result {
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes+1))
 	if err != nil {
-		return result{point: retry.MidAnswer, connected: callerCanceled(ctx),
+		return result{stage: retry.MidAnswer, connected: callerCanceled(ctx),
 			err: failure.New(failure.BackendLost, failure.Unknown, "the answer broke off: %s", err)}
 	}
 	stall.Stop()
 	if len(data) > maxAnswerBytes {
-		return result{point: retry.MidAnswer, err: failure.New(failure.Truncated, failure.Unknown, "the answer is over %d bytes", maxAnswerBytes), connected: true}
+		return result{stage: retry.MidAnswer, err: failure.New(failure.Truncated, failure.Unknown, "the answer is over %d bytes", maxAnswerBytes), connected: true}
 	}
 	if err := x.sendHead(hd); err != nil {
 		return sinkFailed(err)
@@ -96,13 +96,13 @@
 	if err := x.sink.Data(data); err != nil {
 		return sinkFailed(err)
 	}
-	return result{point: retry.Answered, connected: true}
+	return result{stage: retry.Answered, connected: true}
 }
 
 // sinkFailed returns the result of an attempt whose answer the caller did not accept.
 func sinkFailed(err error) result {
 	f := failure.Wrap(err, failure.Canceled, failure.Unknown)
-	return result{point: retry.MidAnswer, err: f, connected: true}
+	return result{stage: retry.MidAnswer, err: f, connected: true}
 }
 
 // relayStream sends on a stream event by event. The stream is complete with its last event; one
@@ -113,7 +113,7 @@
 		event, err := readEvent(reader)
 		if err != nil {
 			return result{
-				point: retry.MidAnswer, connected: callerCanceled(ctx),
+				stage: retry.MidAnswer, connected: callerCanceled(ctx),
 				err: failure.New(failure.BackendLost, failure.Unknown, "the stream broke off after %d tokens: %s", x.relayed, err),
 			}
 		}
@@ -122,7 +122,7 @@
 			return sinkFailed(err)
 		}
 		if x.ended {
-			return result{point: retry.Answered, connected: true}
+			return result{stage: retry.Answered, connected: true}
 		}
 		x.countToken(h)
 	}
--- a/internal/app/gateway/crashes.go
+++ b/internal/app/gateway/crashes.go
@@ -27,9 +27,9 @@
 func (g *Gateway) recordServerOutcome(ctx context.Context, x *execution, c *dispatch.Choice, res result) {
 	switch {
 	case c.Server == nil:
-	case res.point == retry.Answered, res.outcome == dispatch.Failed && res.fallback != nil:
+	case res.stage == retry.Answered, res.outcome == dispatch.Failed && res.fallback != nil:
 		g.o.Crashes.RecordAnswer(x.fingerprint)
-	case ctx.Err() != nil || res.outcome != dispatch.ConnectionFailed || res.point == retry.BeforeSend:
+	case ctx.Err() != nil || res.outcome != dispatch.ConnectionFailed || res.stage == retry.BeforeSend:
 	default:
 		g.recordBreak(x, c.Server)
 	}
--- a/internal/app/gateway/crashes_test.go
+++ b/internal/app/gateway/crashes_test.go
@@ -180,10 +180,10 @@
 func TestVerdictsOfOtherHosts(t *testing.T) {
 	f := newCrashFixture(t, port.Refuses)
 	crashing := fingerprintOf(f.request("/stock/9"), nil)
-	var sent [][]*pb.QuarantineRecord
+	var sentRecords [][]*pb.QuarantineRecord
 	epoch := uint64(1)
 	f.peers.response = func(req *pb.Request) *pb.Response {
-		sent = append(sent, req.GetFleetSync().Quarantine)
+		sentRecords = append(sentRecords, req.GetFleetSync().Quarantine)
 		v := &pb.FleetView{Epoch: epoch, Version: 1, HomeRegion: "west", HomeDomain: "w1", QuarantineNext: 5}
 		v.Quarantine = []*pb.QuarantineRecord{{Fingerprint: crashing[:], Server: []uint64{1, 2, 3}, AgeS: []uint32{9, 6, 3}, Service: "desk"}}
 		return &pb.Response{Body: &pb.Response_FleetView{FleetView: v}}
@@ -203,17 +203,17 @@
 	f.backends.answer = failedAlways
 	f.g.Execute(context.Background(), f.request("/stock/1"), &memorySink{})
 	sync()
-	if got := sent[len(sent)-1]; len(got) != 1 {
+	if got := sentRecords[len(sentRecords)-1]; len(got) != 1 {
 		t.Errorf("%d records sent, want the one recorded here", len(got))
 	}
 	sync()
-	if got := sent[len(sent)-1]; len(got) != 0 {
+	if got := sentRecords[len(sentRecords)-1]; len(got) != 0 {
 		t.Errorf("%d records sent again", len(got))
 	}
 	epoch = 2 // the control host has restarted
 	sync()
 	sync()
-	if got := sent[len(sent)-1]; len(got) != 2 {
+	if got := sentRecords[len(sentRecords)-1]; len(got) != 2 {
 		t.Errorf("%d records sent to a control host that has restarted, want all 2", len(got))
 	}
 }
--- a/internal/app/gateway/execute.go
+++ b/internal/app/gateway/execute.go
@@ -15,7 +15,7 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// execution is the state of a request in progress.
+// execution is the state of a request in flight.
 type execution struct {
 	r          *Request
 	record     *configstate.Record
@@ -132,7 +132,7 @@
 
 // result is the outcome of an attempt.
 type result struct {
-	point     retry.Stage
+	stage     retry.Stage
 	outcome   dispatch.Outcome
 	err       *failure.Error
 	firstByte time.Duration
@@ -157,14 +157,14 @@
 		}
 		res := g.attempt(ctx, x, c)
 		g.o.Crashes.Finish(x.fingerprint, x.judgement)
-		if res.point == retry.BeforeSend || res.point == retry.Refused {
+		if res.stage == retry.BeforeSend || res.stage == retry.Refused {
 			g.refundQuota(x)
 		}
 		if res.fallback != nil {
 			fallback = res.fallback
 		}
 		d := retry.Decide(retry.Attempt{
-			Stage: res.point, Idempotent: x.route.Idempotent(),
+			Stage: res.stage, Idempotent: x.route.Idempotent(),
 			Relayed: x.headSent, Resumable: x.route.Resumable,
 		}, g.mayRetry(ctx, x, res))
 		switch {
@@ -240,7 +240,7 @@
 // mayRetry reports whether the route, the deadline and the retry budget that all entry hosts
 // share allow another attempt.
 func (g *Gateway) mayRetry(ctx context.Context, x *execution, res result) bool {
-	if ctx.Err() != nil || x.deadline.Sub(g.o.Clock.Now()) < minAttemptTime || res.point == retry.Answered {
+	if ctx.Err() != nil || x.deadline.Sub(g.o.Clock.Now()) < minAttemptTime || res.stage == retry.Answered {
 		return false
 	}
 	if res.err != nil && (res.err.Code == failure.Quarantined || res.err.Code == failure.Suspected) {
@@ -250,14 +250,14 @@
 	if x.r.attempts > 0 {
 		limit = x.r.attempts
 	}
-	ran := res.point != retry.BeforeSend && res.point != retry.Refused
+	ran := res.stage != retry.BeforeSend && res.stage != retry.Refused
 	if ran && !x.route.Idempotent() {
 		return false
 	}
 	if x.ran >= limit || x.sends >= limit+maxRefusals {
 		return false
 	}
-	if res.point == retry.BeforeSend {
+	if res.stage == retry.BeforeSend {
 		return true // no server received the request
 	}
 	g.mu.Lock()
@@ -371,11 +371,11 @@
 	} else {
 		res = g.attemptForward(ctx, x, c)
 		x.tried[c.Host.ID] = true
-		if res.point == retry.Refused {
+		if res.stage == retry.Refused {
 			x.tried[c.Host.Region] = true
 		}
 	}
-	if res.point != retry.BeforeSend && res.point != retry.Refused {
+	if res.stage != retry.BeforeSend && res.stage != retry.Refused {
 		x.ran++
 	}
 	g.recordServerOutcome(ctx, x, c, res)
--- a/internal/app/gateway/forward.go
+++ b/internal/app/gateway/forward.go
@@ -25,11 +25,11 @@
 	req.Body = &pb.Request_RoutedForward{RoutedForward: g.newForward(x, began)}
 	stream, sent, err := g.o.Peers.Open(ctx, c.Host.Peer, req, nil)
 	if err != nil {
-		point := retry.BeforeSend
+		stage := retry.BeforeSend
 		if sent {
-			point = retry.Sent
+			stage = retry.Sent
 		}
-		return result{point: point, outcome: dispatch.ConnectionFailed, err: failure.As(err, failure.Unknown)}
+		return result{stage: stage, outcome: dispatch.ConnectionFailed, err: failure.As(err, failure.Unknown)}
 	}
 	defer func() { _ = stream.Close() }()
 	res := result{}
@@ -61,7 +61,7 @@
 	for {
 		frame, err := stream.Recv()
 		if err != nil {
-			res.point, res.outcome = retry.Sent, dispatch.ConnectionFailed
+			res.stage, res.outcome = retry.Sent, dispatch.ConnectionFailed
 			res.err = failure.New(failure.PeerUnreachable, failure.Unknown, "the link to %s broke off: %s", c.Host.ID, err)
 			return
 		}
@@ -75,7 +75,7 @@
 				continue
 			}
 			if f := x.sendEvent(hd, f.Chunk); f != nil {
-				res.point, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
+				res.stage, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
 				return
 			}
 		case *pb.ForwardFrame_End:
@@ -88,26 +88,26 @@
 // finishForward handles the end frame of a forwarded request's answer.
 func (g *Gateway) finishForward(x *execution, answer *bufferedAnswer, headReceived bool, end *pb.ForwardEnd, res *result) {
 	if end.Complete && headReceived {
-		res.point = retry.Answered
+		res.stage = retry.Answered
 		switch {
 		case answer.head.Length < 0:
 			if f := x.sendHead(answer.head); f != nil {
-				res.point, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
+				res.stage, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
 			}
 		case x.headSent:
-			res.point = retry.Refused
+			res.stage = retry.Refused
 			res.err = failure.New(failure.BackendRefused, failure.NotRun, "the server answered %d instead of the rest of the stream", answer.head.Status)
 		default:
 			if f := deliver(x, answer); f != nil {
-				res.point, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
+				res.stage, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
 			}
 		}
 		return
 	}
 	f := forward.Failure(end)
-	res.err, res.outcome, res.point = f, dispatch.Failed, retry.Sent
+	res.err, res.outcome, res.stage = f, dispatch.Failed, retry.Sent
 	if f.Outcome == failure.NotRun && !headReceived {
-		res.point, res.outcome = retry.Refused, dispatch.Refused
+		res.stage, res.outcome = retry.Refused, dispatch.Refused
 	}
 }
 
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -64,7 +64,7 @@
 	fetchFailedAt atomic.Int64
 	draining      atomic.Bool
 	inflight      atomic.Int64
-	becameBusy    chan struct{} // receives a signal when the number of requests in progress rises from 0
+	becameBusy    chan struct{} // receives a signal when the number of requests in flight rises from 0
 
 	mu          sync.Mutex
 	fleet       *dispatch.Fleet
@@ -206,7 +206,7 @@
 	return g.fleet.Speeds()
 }
 
-// Inflight returns the number of requests in progress.
+// Inflight returns the number of requests in flight.
 func (g *Gateway) Inflight() int64 { return g.inflight.Load() }
 
 // Version returns the configuration version in force; 0 for none.
--- a/internal/app/gateway/regions.go
+++ b/internal/app/gateway/regions.go
@@ -15,7 +15,7 @@
 )
 
 // queryRegions queries entry hosts of the regions whose loads no control host reports, until ctx
-// ends. It sends no queries while the host has no request in progress.
+// ends. It sends no queries while the host has no request in flight.
 func (g *Gateway) queryRegions(ctx context.Context) {
 	t := time.NewTicker(regionQueryInterval)
 	defer t.Stop()
--- a/internal/app/gateway/server.go
+++ b/internal/app/gateway/server.go
@@ -33,25 +33,25 @@
 		Remaining: x.deadline.Sub(began), ResumeAfter: x.lastEvent, CopyFrom: c.CopyFrom, Deferred: c.Deferred,
 	})
 	if err != nil {
-		point := retry.BeforeSend
+		stage := retry.BeforeSend
 		if sent {
-			point = retry.Sent
+			stage = retry.Sent
 		}
-		return result{point: point, outcome: dispatch.ConnectionFailed, err: failure.New(failure.BackendLost, failure.Unknown, "%s", err)}
+		return result{stage: stage, outcome: dispatch.ConnectionFailed, err: failure.New(failure.BackendLost, failure.Unknown, "%s", err)}
 	}
 	defer func() { _ = answer.Body.Close() }()
 	g.recordCold(c.Server, answer.Cold)
 	g.recordLoad(c, answer.Requests)
 	switch answer.Verdict {
 	case NotRun:
-		return result{point: retry.Refused, outcome: dispatch.Refused,
+		return result{stage: retry.Refused, outcome: dispatch.Refused,
 			err: failure.New(failure.BackendRefused, failure.NotRun, "the backend server answered %d without running the request", answer.Status)}
 	case WrongServer:
 		g.markGone(c.Server)
-		return result{point: retry.Refused, outcome: dispatch.Refused,
+		return result{stage: retry.Refused, outcome: dispatch.Refused,
 			err: failure.New(failure.BackendRefused, failure.NotRun, "another backend server has the address now")}
 	case Unverified:
-		return result{point: retry.Sent, outcome: dispatch.Failed,
+		return result{stage: retry.Sent, outcome: dispatch.Failed,
 			err: failure.New(failure.BackendLost, failure.Unknown, "the answer does not carry the server's signature")}
 	}
 	res := result{}
@@ -98,7 +98,7 @@
 		err = failure.New(failure.Truncated, failure.Unknown, "the answer is over %d bytes", maxAnswerBytes)
 	}
 	if err != nil {
-		res.point, res.outcome = retry.MidAnswer, dispatch.ConnectionFailed
+		res.stage, res.outcome = retry.MidAnswer, dispatch.ConnectionFailed
 		res.err = failure.New(failure.BackendLost, failure.Unknown, "the answer broke off: %s", err)
 		return
 	}
@@ -107,20 +107,20 @@
 	if isFailure(a.Status) {
 		res.outcome, res.fallback = dispatch.Failed, buffered
 		if x.headSent || x.route.Idempotent() {
-			res.point = retry.Sent
+			res.stage = retry.Sent
 			res.err = failure.New(failure.BackendLost, failure.Unknown, "the backend server answered %d", a.Status)
 			return
 		}
 	}
 	if x.headSent {
 		// The caller has received part of a stream, which no other answer can continue.
-		res.point = retry.Refused
+		res.stage = retry.Refused
 		res.err = failure.New(failure.BackendRefused, failure.NotRun, "the server answered %d instead of the rest of the stream", a.Status)
 		return
 	}
-	res.point = retry.Answered
+	res.stage = retry.Answered
 	if f := deliver(x, buffered); f != nil {
-		res.point, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
+		res.stage, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
 	}
 }
 
@@ -131,22 +131,22 @@
 	for {
 		event, err := readEvent(reader)
 		if err == io.EOF && len(event) == 0 {
-			res.point = retry.Answered
+			res.stage = retry.Answered
 			if !x.headSent { // an empty stream
 				if f := x.sendHead(a.Head); f != nil {
-					res.point, res.err, res.outcome = retry.MidAnswer, f, dispatch.CallerEnded
+					res.stage, res.err, res.outcome = retry.MidAnswer, f, dispatch.CallerEnded
 				}
 			}
 			return
 		}
 		if err != nil {
-			res.point, res.outcome = retry.MidAnswer, dispatch.ConnectionFailed
+			res.stage, res.outcome = retry.MidAnswer, dispatch.ConnectionFailed
 			res.err = failure.New(failure.BackendLost, failure.Unknown, "the stream broke off after event %d: %s", x.lastEvent, err)
 			return
 		}
 		g.recordProgress(c, res, began)
 		if f := x.sendEvent(a.Head, event); f != nil {
-			res.point, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
+			res.stage, res.outcome, res.err = retry.MidAnswer, dispatch.CallerEnded, f
 			if f.Code == failure.BackendLost {
 				res.outcome = dispatch.ConnectionFailed
 			}
--- a/internal/app/gateway/sync.go
+++ b/internal/app/gateway/sync.go
@@ -19,7 +19,7 @@
 // Time-outs and delays of sync requests to the control hosts.
 const (
 	// syncWait is how long a control host may hold a sync request while nothing changes (long
-	// polling). It is also the age of the loads that the hosts of a region exchange.
+	// polling). It is also the age of the loads that a host has of the other hosts of its region.
 	syncWait = 250 * time.Millisecond
 	// syncTimeout bounds a sync request. It allows for syncWait, a round trip to another region and
 	// a busy control host.
