--- a/internal/adapter/settings/tls.go
+++ b/internal/adapter/settings/tls.go
@@ -36,7 +36,7 @@
 	return s, nil
 }
 
-// Config returns the current configuration. If changed files can't be loaded, it
+// Config returns the current configuration. If changed files cannot be loaded, it
 // returns the last one that was loaded.
 func (s *TLSSource) Config() *tls.Config {
 	s.mu.Lock()
--- a/internal/adapter/settings/types.go
+++ b/internal/adapter/settings/types.go
@@ -397,7 +397,7 @@
 	c.inRange("trace.sample_ratio", t.SampleRatio, 0, 1)
 }
 
-// Faults implements Checked.
+// Faults implements Validator.
 func (e *Entry) Faults() []Fault {
 	var c collector
 	c.schema(e.SchemaVersion)
@@ -436,7 +436,7 @@
 	return c
 }
 
-// Faults implements Checked.
+// Faults implements Validator.
 func (s *Control) Faults() []Fault {
 	var c collector
 	c.schema(s.SchemaVersion)
--- a/internal/app/control/dissemination.go
+++ b/internal/app/control/dissemination.go
@@ -12,7 +12,7 @@
 )
 
 // Times and limits of the dissemination of configurations. Each replica offers a new
-// configuration to a few entry hosts of each failure domain; the others learn of it from these.
+// configuration to a few entry hosts of each failure domain; the others receive it from these.
 const (
 	disseminateInterval = 500 * time.Millisecond
 	reofferInterval     = 3 * time.Second
--- a/internal/app/control/group_test.go
+++ b/internal/app/control/group_test.go
@@ -293,8 +293,8 @@
 
 // TestRestartedHostOffersNoStaleConfiguration restarts a host whose journal contains a lower commit
 // index than was acknowledged, as after a power loss: the commit index is not synced with each
-// change. Before the host has contact with a leader it cannot tell which configuration is the
-// newest, so it must not offer the one that it has applied to entry hosts.
+// change. Before the host has contact with a leader it cannot determine which configuration is
+// the newest, so it must not offer the one that it has applied to entry hosts.
 func TestRestartedHostOffersNoStaleConfiguration(t *testing.T) {
 	g := newGroup(t)
 	for v := uint64(5); v < 10; v++ {
--- a/internal/app/control/operate.go
+++ b/internal/app/control/operate.go
@@ -87,7 +87,7 @@
 	return r.Staleness() > isolationElectionTimeouts*electionTicks*r.o.Tick
 }
 
-// runOnLeader executes p on the leader, locally or by a remote call. It retries results that say
+// runOnLeader executes p on the leader, locally or by a remote call. It retries results that report
 // that there is no leader and that p did not run, until leaderWaitTimeout has passed. An isolated
 // replica refuses at once, because operators wait for a second before they try another host
 // (TestIsolatedHostRefusesAtOnce).
--- a/internal/app/control/representatives_test.go
+++ b/internal/app/control/representatives_test.go
@@ -114,7 +114,7 @@
 	f.cursors[addr] = next
 }
 
-// converge runs rounds until the control hosts know each other.
+// converge runs convergeRounds rounds and checks that every control host has all live hosts.
 func (w *simulatedFleet) converge() {
 	w.t.Helper()
 	const convergeRounds = 10 // 3 s
--- a/internal/app/entry/config.go
+++ b/internal/app/entry/config.go
@@ -133,8 +133,8 @@
 }
 
 // fetchInitialConfig asks each seed and control host for its configuration, at each call until
-// a configuration is in force. The host isn't ready before each of them had the chance to
-// answer once.
+// a configuration is in force. The host is not ready until it has one and each of them has been
+// queried once.
 func (h *Host) fetchInitialConfig(ctx context.Context) {
 	if h.peersQueried.Load() && h.config.Load() != nil {
 		return
@@ -180,7 +180,7 @@
 	h.publishDirectory(ctx, v)
 }
 
-// shortStamp returns the stamp without its digest, which reports don't need.
+// shortStamp returns the stamp without its digest, which reports do not need.
 func shortStamp(s *pb.ConfigStamp) *pb.ConfigStamp {
 	return &pb.ConfigStamp{Generation: s.GetGeneration(), Version: s.GetVersion()}
 }
--- a/internal/app/entry/probe.go
+++ b/internal/app/entry/probe.go
@@ -78,7 +78,7 @@
 	h.members.RecordProbeFailure(target, h.o.Clock.Now())
 	h.mu.Unlock()
 	if len(others) == 0 {
-		h.awaitingPeer.Store(false) // no other host can be asked; a host that is alone serves on
+		h.awaitingPeer.Store(false) // no other host can probe the target; a host without others continues to serve
 	}
 }
 
--- a/internal/app/entry/request.go
+++ b/internal/app/entry/request.go
@@ -26,7 +26,7 @@
 	Stream     bool
 	Prefixes   []uint64 // chain of prompt prefix hashes
 	Tokens     float64  // estimated prompt tokens
-	MaxTokens  float64  // tokens asked for
+	MaxTokens  float64  // maximum number of output tokens
 	Priority   int
 	Deadline   time.Time
 	Key        string   // idempotency key; empty when none was given
@@ -87,7 +87,7 @@
 func EstimateTokens(text string) float64 { return float64(len(text)) / bytesPerToken }
 
 // checkResidency returns the regions that the residency rules permit for the request. If this
-// host's region isn't among them, it returns a failure that lists the entry hosts of the
+// host's region is not among them, it returns a failure that lists the entry hosts of the
 // permitted regions.
 func (h *Host) checkResidency(v *view, r *Request) ([]string, *failure.Error) {
 	permitted, err := residency.Permitted(v.Record, r.residencyQuery())
--- a/internal/daemon/callers_late_test.go
+++ b/internal/daemon/callers_late_test.go
@@ -12,7 +12,7 @@
 
 // TestLateRequestsAreRefused guards against requests that are interrupted because they were
 // sent after the host stopped accepting requests. An answer that began before the host began to
-// drain doesn't close its connection. If it ends after the host has stopped accepting requests,
+// drain does not close its connection. If it ends after the host has stopped accepting requests,
 // the caller can send another request on the connection. Such a request was served 4 s after
 // SIGTERM and interrupted at the end of the grace time. It must be refused before it runs, or
 // find the connection closed; a request that was sent before the host stopped accepting requests
