--- a/internal/app/entry/host.go
+++ b/internal/app/entry/host.go
@@ -82,7 +82,7 @@
 	previous     atomic.Pointer[configstate.Installed] // in force before config
 	draining     atomic.Bool
 	awaitingPeer atomic.Bool  // set after a freeze until another host answered; not ready meanwhile
-	peersQueried atomic.Bool  // all seeds and control hosts were asked for their configuration
+	peersQueried atomic.Bool  // all seeds and control hosts were queried for their configuration
 	probedAt     atomic.Int64 // Unix time in ns of the last probe, 0 before the first
 	incarnation  uint64
 	explained    *explanationStore
--- a/internal/app/gateway/gateway_test.go
+++ b/internal/app/gateway/gateway_test.go
@@ -279,11 +279,11 @@
 			[]func() (*Answer, bool, error){failed(true, reset), failed(true, reset)}, 2, 0, "", failure.BackendLost, failure.Unknown},
 		{"stream, complete", "/chat/1",
 			[]func() (*Answer, bool, error){answered(streamAnswer(event1+event2+event3, false))}, 1, 200, event1 + event2 + event3, "", ""},
-		{"stream that can't be resumed breaks", "/chat/1",
+		{"stream that cannot be resumed breaks", "/chat/1",
 			[]func() (*Answer, bool, error){answered(streamAnswer(event1+"id: 2\nda", true))}, 1, 200, event1, failure.BackendLost, failure.Unknown},
 		{"stream that ends within an event is incomplete", "/chat/1",
 			[]func() (*Answer, bool, error){answered(streamAnswer(event1+"id: 2\nda", false))}, 1, 200, event1, failure.BackendLost, failure.Unknown},
-		{"resumable stream goes on at the other server", "/match/1",
+		{"resumable stream continues at the other server", "/match/1",
 			[]func() (*Answer, bool, error){answered(streamAnswer(event1+"id: 2\nda", true)), answered(streamAnswer(event2+event3, false))},
 			2, 200, event1 + event2 + event3, "", ""},
 		{"resumed stream that starts over: events that the caller has are skipped", "/match/1",
@@ -434,11 +434,11 @@
 	}{
 		{name: "served", path: "/order/1", frames: []*pb.ForwardFrame{headFrame(200, 2), chunkFrame("ok"), endFrame(failure.Done, "")}, body: "ok"},
 		{name: "stream", path: "/match/1", frames: []*pb.ForwardFrame{headFrame(200, -1), chunkFrame(event1), chunkFrame(event2), endFrame(failure.Done, "")}, body: event1 + event2},
-		{name: "refused there, was not run", path: "/order/1", frames: []*pb.ForwardFrame{endFrame(failure.NotRun, failure.NoServer)}, code: failure.NoServer, outcome: failure.NotRun},
-		{name: "not reached, was not run", path: "/order/1", err: failure.New(failure.PeerUnreachable, failure.NotRun, "down"), code: failure.NoServer, outcome: failure.NotRun},
-		{name: "link lost after it was sent, is unknown", path: "/order/1", frames: nil, code: failure.PeerUnreachable, outcome: failure.Unknown},
-		{name: "body cut, never a short success", path: "/order/1", frames: []*pb.ForwardFrame{headFrame(200, 9), chunkFrame("ok")}, code: failure.PeerUnreachable, outcome: failure.Unknown},
-		{name: "an unknown route there is no unknown route here", path: "/order/1", frames: []*pb.ForwardFrame{endFrame(failure.NotRun, failure.NotFound)}, code: failure.NoServer, outcome: failure.NotRun},
+		{name: "refused by the receiver, not run", path: "/order/1", frames: []*pb.ForwardFrame{endFrame(failure.NotRun, failure.NoServer)}, code: failure.NoServer, outcome: failure.NotRun},
+		{name: "receiver not reached, not run", path: "/order/1", err: failure.New(failure.PeerUnreachable, failure.NotRun, "down"), code: failure.NoServer, outcome: failure.NotRun},
+		{name: "link lost after the request was sent, outcome unknown", path: "/order/1", frames: nil, code: failure.PeerUnreachable, outcome: failure.Unknown},
+		{name: "truncated body is not reported as complete", path: "/order/1", frames: []*pb.ForwardFrame{headFrame(200, 9), chunkFrame("ok")}, code: failure.PeerUnreachable, outcome: failure.Unknown},
+		{name: "route unknown to the receiver is not reported as not found", path: "/order/1", frames: []*pb.ForwardFrame{endFrame(failure.NotRun, failure.NotFound)}, code: failure.NoServer, outcome: failure.NotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/app/gateway/source_test.go
+++ b/internal/app/gateway/source_test.go
@@ -50,7 +50,7 @@
 			v.RemovedHosts, v.Hosts = []string{"a"}, []*pb.FleetHost{{Id: "a"}}
 		})}, true, "a b", true, serverload.Loads{0: {Requests: 1}, 1: {Requests: 2}}},
 		{"loads that changed, ended, began", []*pb.FleetView{full(1, 5, "a"), changes(1, 6, func(v *pb.FleetView) { v.Loads = loads(4, 0, 3) })}, true, "a", false, serverload.Loads{0: {Requests: 4}, 2: {Requests: 3}}},
-		{"all loads anew", []*pb.FleetView{full(1, 5, "a"), changes(1, 6, func(v *pb.FleetView) { v.Loads, v.LoadChanges = loads(7), false })}, true, "a", false, serverload.Loads{0: {Requests: 7}}},
+		{"full set of loads", []*pb.FleetView{full(1, 5, "a"), changes(1, 6, func(v *pb.FleetView) { v.Loads, v.LoadChanges = loads(7), false })}, true, "a", false, serverload.Loads{0: {Requests: 7}}},
 		{"changes without a full view", []*pb.FleetView{changes(1, 6, nil)}, false, "", false, nil},
 		{"changes of another epoch", []*pb.FleetView{full(1, 5, "a"), changes(2, 6, nil)}, false, "", false, nil},
 		{"full again after a rejected one", []*pb.FleetView{full(1, 5, "a", "b"), changes(2, 6, nil), full(2, 7, "a")}, true, "a", true, serverload.Loads{0: {Requests: 1}, 1: {Requests: 2}}},
