--- a/internal/app/gateway/teams.go
+++ b/internal/app/gateway/teams.go
@@ -30,7 +30,7 @@
 // just have been added, it is refused as unauthorized only after a control host has confirmed,
 // since the request arrived, that the configuration is the newest.
 func (g *Gateway) admit(ctx context.Context, r *Request) (*configstate.Installed, *configstate.Route, *configstate.Team, *failure.Error) {
-	for confirmed := false; ; confirmed = true {
+	for rechecked := false; ; rechecked = true {
 		c := g.config.Load()
 		route, f := routeOf(c, r)
 		if f != nil {
@@ -42,7 +42,7 @@
 			return c, route, team, nil
 		case r.Origin != "":
 			return c, route, nil, notRun(failure.PeerRefused, 0, "%s", f.Detail)
-		case r.Key.Hash == "" || confirmed:
+		case r.Key.Hash == "" || rechecked:
 			g.o.Metrics.Add("refused_unauthorized", 1)
 			return c, route, nil, f
 		}
