--- a/cmd/sesame-control/main.go
+++ b/cmd/sesame-control/main.go
@@ -1,5 +1,5 @@
-// Command sesame-control runs one replica of the control group: the replicated
-// configuration log and the operators' HTTP.
+// Command sesame-control runs one replica of the control group, which holds the replicated
+// configuration log and serves the operators' HTTP interface.
 package main
 
 import (
@@ -32,7 +32,7 @@
 
 func main() {
 	var f daemon.Flags
-	format := flag.Bool("format", false, "form the group: write the first store of this host into the empty data folder and exit")
+	format := flag.Bool("format", false, "form the group: create this host's first store in the empty data folder and exit")
 	daemon.ParseFlags(flag.CommandLine, &f)
 	s := settings.DefaultControl()
 	if err := settings.Load(f.Settings, s); err != nil {
@@ -48,17 +48,18 @@
 	}
 }
 
-// groupID names the group and its generation: folders of another are refused.
+// groupID returns the group with its generation. A data folder of another group is rejected.
 func groupID(s *settings.Control) string {
 	return fmt.Sprintf("%s.%d", s.Group.ID, s.Group.Generation)
 }
 
-// firstStore is the identity of a host's store when the group is formed.
-func firstStore(host string) string { return host + ".0" }
+// founderStoreID returns the ID of a host's store when the group is formed.
+func founderStoreID(host string) string { return host + ".0" }
 
-// laterStore is the identity of a store that was formatted because the folder
-// was empty. It has no vote until it is added to the group.
-func laterStore(host string) string {
+// randomStoreID returns a new ID for a store that is no founder of the group, such as one that
+// was formatted because the data folder was empty. It has no vote until it is added to the
+// group.
+func randomStoreID(host string) string {
 	b := make([]byte, 6)
 	_, _ = rand.Read(b)
 	return host + "." + hex.EncodeToString(b)
@@ -69,7 +70,7 @@
 		return runPlatform(s)
 	}
 	log := logging.New(os.Stderr, s.Log.Level).WithValues("host", s.Host.ID, "region", s.Host.Region, "failure_domain", s.Host.FailureDomain)
-	id := port.Identity{Group: groupID(s), Store: firstStore(s.Host.ID), Host: s.Host.ID}
+	id := port.Identity{Group: groupID(s), Store: founderStoreID(s.Host.ID), Host: s.Host.ID}
 	if format {
 		return journal.Format(journal.OS{}, s.Store.Dir, id)
 	}
@@ -78,7 +79,7 @@
 		return failure.Wrap(err, failure.JournalFailed, "")
 	}
 	if !formatted {
-		id.Store = laterStore(s.Host.ID)
+		id.Store = randomStoreID(s.Host.ID)
 		if err := journal.Format(journal.OS{}, s.Store.Dir, id); err != nil {
 			return err
 		}
@@ -93,21 +94,21 @@
 		return failure.New(failure.JournalForeign, "", "%s belongs to group %s, not %s", s.Store.Dir, state.Identity.Group, id.Group)
 	}
 	if state.CutBytes > 0 {
-		log.Info("torn tail cut", "bytes", state.CutBytes)
+		log.Info("torn tail truncated", "bytes", state.CutBytes)
 	}
 	return serve(s, j, state, log)
 }
 
-func seed() int64 {
+func randomSeed() int64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return int64(binary.BigEndian.Uint64(b[:]))
 }
 
-func members(s *settings.Control) []*pb.RaftMember {
+func configuredMembers(s *settings.Control) []*pb.RaftMember {
 	var out []*pb.RaftMember
 	for _, m := range s.Group.Members {
-		out = append(out, &pb.RaftMember{Id: firstStore(m.ID), Address: m.Peer})
+		out = append(out, &pb.RaftMember{Id: founderStoreID(m.ID), Address: m.Peer})
 	}
 	return out
 }
@@ -125,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	opTLS, err := s.TLS.Operator.Source(false)
+	operatorTLS, err := s.TLS.Operator.Source(false)
 	if err != nil {
 		return err
 	}
@@ -139,10 +140,10 @@
 	defer client.Close()
 	r, err := control.NewReplica(control.Options{
 		Identity: state.Identity, Host: s.Host.ID, Region: s.Host.Region, FailureDomain: s.Host.FailureDomain,
-		Generation: s.Group.Generation, Members: members(s), Signer: signer,
+		Generation: s.Group.Generation, Members: configuredMembers(s), Signer: signer,
 		Tick: time.Duration(s.Group.TickMS) * time.Millisecond, SnapshotEvery: s.Store.SnapshotEvery,
 		MaxOrder: time.Duration(s.Orders.MaxOrderMS) * time.Millisecond, LoadsPerMin: s.Orders.LoadsPerMinute,
-		Seed: seed(), Quotas: s.Quotas.Bound(), QuotaStore: journal.Quotas{FS: journal.OS{}, Dir: s.Store.Dir},
+		Seed: randomSeed(), Quotas: s.Quotas.Bound(), QuotaStore: journal.Quotas{FS: journal.OS{}, Dir: s.Store.Dir},
 		FirstStart: state.Snapshot == nil && len(state.Entries) == 0, Quarantine: s.Quarantine.Options(s.Host.ID), Journal: j, State: state, Reopen: reopener(s), Peers: client, Engines: enginehttp.New(),
 		Clock: port.SystemClock{}, Log: log,
 	})
@@ -156,7 +157,7 @@
 		return err
 	}
 	handler := operatorhttp.New(r, s.Group.BootstrapOperatorHash, log)
-	srv, ln, err := daemon.NewHTTPServer(s.Listen.Operator, handler, opTLS.Server())
+	srv, ln, err := daemon.NewHTTPServer(s.Listen.Operator, handler, operatorTLS.Server())
 	if err != nil {
 		return err
 	}
--- a/cmd/sesame-control/platform.go
+++ b/cmd/sesame-control/platform.go
@@ -27,14 +27,14 @@
 	"github.com/sesamefork/sesamefork/platform"
 )
 
-// runPlatform serves the users' platform: the group forms from the seeds and
-// repairs itself, and hosts present themselves.
+// runPlatform runs the replica with the platform interface: the group is formed from the seeds,
+// replaces lost replicas itself, and hosts register themselves.
 func runPlatform(s *settings.Control) error {
 	daemon.LimitMemory(s.Limits.MemoryMB)
 	out := logging.NewBounded(os.Stdout, s.Log.Level)
 	defer out.Close()
 	log := out.WithValues("host", s.Host.ID)
-	j, state, err := awaitStore(s, log)
+	j, state, err := openStoreWithRetry(s, log)
 	if err != nil {
 		return err
 	}
@@ -55,10 +55,10 @@
 	defer client.Close()
 	r, err := control.NewReplica(control.Options{
 		Identity: state.Identity, Host: s.Host.ID, Region: s.Host.Region, FailureDomain: s.Host.FailureDomain,
-		Generation: s.Group.Generation, Members: founders(state.Identity), Signer: signer,
+		Generation: s.Group.Generation, Members: founderMembers(state.Identity), Signer: signer,
 		Tick: time.Duration(s.Group.TickMS) * time.Millisecond, SnapshotEvery: s.Store.SnapshotEvery,
 		MaxOrder: time.Duration(s.Orders.MaxOrderMS) * time.Millisecond, LoadsPerMin: s.Orders.LoadsPerMinute,
-		Seed: seed(), NoOrders: true, Quotas: s.Quotas.Bound(), QuotaStore: journal.Quotas{FS: journal.OS{}, Dir: s.Store.Dir},
+		Seed: randomSeed(), NoOrders: true, Quotas: s.Quotas.Bound(), QuotaStore: journal.Quotas{FS: journal.OS{}, Dir: s.Store.Dir},
 		FirstStart: s.Fleet.Found && state.Snapshot == nil && len(state.Entries) == 0, Quarantine: s.Quarantine.Options(s.Host.ID), Journal: j, State: state, Reopen: reopener(s), Peers: client, Engines: enginehttp.New(),
 		Clock: port.SystemClock{}, Log: log,
 	})
@@ -76,42 +76,42 @@
 	return servePlatform(s, r, fleet, link, log)
 }
 
-// awaitStore opens the store, and tries again while the disk refuses.
-func awaitStore(s *settings.Control, log logr.Logger) (*journal.Journal, *port.JournalState, error) {
+// openStoreWithRetry opens the store, and retries while the disk reports errors.
+func openStoreWithRetry(s *settings.Control, log logr.Logger) (*journal.Journal, *port.JournalState, error) {
 	for logged := false; ; time.Sleep(control.StoreRetry) {
 		j, state, err := openStore(s, log)
 		if !failure.Is(err, failure.JournalFailed) {
 			return j, state, err
 		}
 		if !logged {
-			log.Info("store can't be opened; trying again", "reason", err.Error())
+			log.Info("store cannot be opened; retrying", "reason", err.Error())
 			logged = true
 		}
 	}
 }
 
-// reopener returns what opens the store anew after its journal failed.
+// reopener returns a function that opens the store again after its journal failed.
 func reopener(s *settings.Control) func() (port.Journal, *port.JournalState, error) {
 	return func() (port.Journal, *port.JournalState, error) {
 		return journal.Reopen(journal.OS{}, s.Store.Dir, s.Host.ID)
 	}
 }
 
-// openStore opens the data folder, formatting an empty one. Only a store that is
-// formatted at the fleet's first start is a founder of the group; any later one
-// has no vote until the group has taken it in.
+// openStore opens the data folder, and formats it if it is empty. Only a store that is formatted
+// at the fleet's first start is a founder of the group; any later one has no vote until the
+// group has added it.
 func openStore(s *settings.Control, log logr.Logger) (*journal.Journal, *port.JournalState, error) {
 	formatted, err := journal.IsFormatted(journal.OS{}, s.Store.Dir)
 	if err != nil {
 		return nil, nil, failure.Wrap(err, failure.JournalFailed, "")
 	}
 	if !formatted {
-		own := s.Fleet.PeerAddress(s.Listen.Peer)
-		id := port.Identity{Group: groupID(s), Store: laterStore(own), Host: s.Host.ID}
-		if seeds := s.Fleet.PeerSeeds(); s.Fleet.Found && slices.Contains(seeds, own) {
-			id.Store = firstStore(own)
+		ownAddress := s.Fleet.PeerAddress(s.Listen.Peer)
+		id := port.Identity{Group: groupID(s), Store: randomStoreID(ownAddress), Host: s.Host.ID}
+		if seeds := s.Fleet.PeerSeeds(); s.Fleet.Found && slices.Contains(seeds, ownAddress) {
+			id.Store = founderStoreID(ownAddress)
 			for _, addr := range seeds {
-				id.Founders = append(id.Founders, port.Founder{Store: firstStore(addr), Address: addr})
+				id.Founders = append(id.Founders, port.Founder{Store: founderStoreID(addr), Address: addr})
 			}
 		}
 		if err := journal.Format(journal.OS{}, s.Store.Dir, id); err != nil {
@@ -124,12 +124,12 @@
 		return nil, nil, err
 	}
 	if state.CutBytes > 0 {
-		log.Info("torn tail cut", "bytes", state.CutBytes)
+		log.Info("torn tail truncated", "bytes", state.CutBytes)
 	}
 	return j, state, nil
 }
 
-func founders(id port.Identity) []*pb.RaftMember {
+func founderMembers(id port.Identity) []*pb.RaftMember {
 	var out []*pb.RaftMember
 	for _, f := range id.Founders {
 		out = append(out, &pb.RaftMember{Id: f.Store, Address: f.Address})
@@ -156,14 +156,14 @@
 	return out
 }
 
-// servePlatform serves until a signal.
+// servePlatform serves peers, operators and callers' look-ups until a signal.
 func servePlatform(s *settings.Control, r *control.Replica, fleet *control.Fleet, link peerlink.Options, log logr.Logger) error {
 	peers, err := peerlink.NewServer(s.Listen.Peer, link, r, log)
 	if err != nil {
 		return err
 	}
 	ctx, _ := daemon.Signals()
-	daemon.OnReload(ctx, func() { log.Info("settings may have changed; they are read at the next start") })
+	daemon.OnReload(ctx, func() { log.Info("settings are not reloaded; changes take effect at the next start") })
 	g, ctx := errgroup.WithContext(ctx)
 	handlers := map[string]http.Handler{
 		s.Listen.Operator:  platform.NewControl(r, fleet, regionList(s.Fleet.Regions), log),
--- a/cmd/sesame-entry/main.go
+++ b/cmd/sesame-entry/main.go
@@ -64,8 +64,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// links builds both ends of the links to other hosts.
-func links(s *settings.Entry) (peerlink.Options, error) {
+// linkOptions returns the options of the peer client and the peer server.
+func linkOptions(s *settings.Entry) (peerlink.Options, error) {
 	key, err := s.Link.HostKey()
 	if err != nil {
 		return peerlink.Options{}, err
@@ -82,7 +82,7 @@
 }
 
 func newHost(s *settings.Entry, client *peerlink.Client, backends *enginehttp.Client, t *tracing.Tracer, m *metrics.Set, log logr.Logger) *entry.Host {
-	crashes := newWatch(s, ms(s.Timing.LeaseMS)/registry.MissedAnnouncements, m, log)
+	crashes := newCrashWatch(s, ms(s.Timing.LeaseMS)/registry.MissedAnnouncements, m, log)
 	o := entry.Options{
 		ID: s.Host.ID, Region: s.Host.Region, FailureDomain: s.Host.FailureDomain,
 		Peer: s.Listen.Peer, Seeds: s.Link.Seeds, Control: s.Link.Control, VerifyKey: s.Link.PublicKey(),
@@ -98,9 +98,9 @@
 	return entry.New(o)
 }
 
-// newWatch returns what recognises requests that crash servers, which announce themselves at
-// an interval.
-func newWatch(s *settings.Entry, announceEvery time.Duration, m *metrics.Set, log logr.Logger) *crashwatch.Watch {
+// newCrashWatch returns the detector of requests that crash backend servers. Servers announce
+// themselves every announceEvery.
+func newCrashWatch(s *settings.Entry, announceEvery time.Duration, m *metrics.Set, log logr.Logger) *crashwatch.Watch {
 	w := crashwatch.New(crashwatch.Options{
 		Quarantine: s.Quarantine.Options(s.Host.ID), AnnounceEvery: announceEvery,
 		Probe: listenprobe.Dialer{Local: daemon.HostIP(s.Listen.Peer)}, Clock: port.SystemClock{}, Log: log, Metrics: m,
@@ -110,9 +110,9 @@
 	return w
 }
 
-// run serves until a signal, then drains. It returns the requests that were cut.
+// run serves until a signal, then drains. It returns the IDs of the requests that it aborted.
 func run(s *settings.Entry, log logr.Logger) ([]string, error) {
-	link, err := links(s)
+	link, err := linkOptions(s)
 	if err != nil {
 		return nil, err
 	}
@@ -143,14 +143,14 @@
 	if err != nil {
 		return nil, err
 	}
-	stop, second := daemon.Signals()
-	serving, end := context.WithCancel(context.Background())
+	stop, secondSignal := daemon.Signals()
+	serving, stopServing := context.WithCancel(context.Background())
 	g, serving := errgroup.WithContext(serving)
 	g.Go(func() error { return host.Run(serving) })
 	g.Go(func() error { return peers.Run(serving) })
 	g.Go(callers.Serve)
 	if err := serveDebug(serving, g, s, host, log); err != nil {
-		end()
+		stopServing()
 		return nil, err
 	}
 	log.Info("started", "caller", s.Listen.Caller, "peer", s.Listen.Peer)
@@ -161,10 +161,10 @@
 	log.Info("draining")
 	drain, cancel := context.WithTimeout(context.Background(), ms(s.Limits.DrainTimeoutMS))
 	callers.StartDraining()
-	cut := host.Drain(drain, ms(s.Limits.DrainLingerMS), second)
+	cut := host.Drain(drain, ms(s.Limits.DrainLingerMS), secondSignal)
 	callers.Finish(drain)
 	cancel()
-	end()
+	stopServing()
 	return cut, g.Wait()
 }
 
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// serveDebug serves the operators' address, when there is one.
+// serveDebug serves the debug routes if the settings name an address for them.
 func serveDebug(ctx context.Context, g *errgroup.Group, s *settings.Entry, host *entry.Host, log logr.Logger) error {
 	if s.Listen.Debug == "" {
 		return nil
--- a/cmd/sesame-entry/platform.go
+++ b/cmd/sesame-entry/platform.go
@@ -22,14 +22,14 @@
 	"github.com/sesamefork/sesamefork/platform"
 )
 
-// runPlatform serves the users' platform: hosts are found through the control
-// hosts, and requests are carried as they came.
+// runPlatform runs the host with the platform interface: it discovers other hosts through the
+// control hosts and forwards requests as received.
 func runPlatform(path string, s *settings.Entry) error {
 	daemon.LimitMemory(s.Limits.MemoryMB)
 	out := logging.NewBounded(os.Stdout, s.Log.Level)
 	defer out.Close()
 	log := out.WithValues("host", s.Host.ID)
-	link, err := links(s)
+	link, err := linkOptions(s)
 	if err != nil {
 		return err
 	}
@@ -44,19 +44,19 @@
 		return err
 	}
 	defer tracer.Shutdown(context.Background())
-	off, fault := dispatch.ParseMechanisms(s.Experiments.Off)
+	disabled, fault := dispatch.ParseMechanisms(s.Experiments.Off)
 	if fault != nil {
 		return fault
 	}
 	servers := platform.NewServers(daemon.HostIP(s.Listen.Peer))
-	crashes := newWatch(s, time.Duration(s.Fleet.HeartbeatMS)*time.Millisecond, m, log)
+	crashes := newCrashWatch(s, time.Duration(s.Fleet.HeartbeatMS)*time.Millisecond, m, log)
 	g := gateway.New(gateway.Options{
 		Host: s.Host.ID, Region: s.Host.Region, FailureDomain: s.Host.FailureDomain,
 		Peer: s.Fleet.PeerAddress(s.Listen.Peer), Caller: s.Listen.Caller, Seeds: s.Fleet.PeerSeeds(), Regions: s.Fleet.Regions,
 		Retries:       retry.SharedOptions{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: seconds(s.Retries.WindowS)},
 		AnnounceEvery: time.Duration(s.Fleet.HeartbeatMS) * time.Millisecond, VerifyKey: s.Link.PublicKey(), Peers: client, Drop: client.Drop, Backends: servers,
 		Crashes: crashes,
-		Clock:   port.SystemClock{}, ReadPrompt: platform.ReadPrompt, Random: rand.Float64, Off: off, Tracer: tracer, Log: log, Metrics: m,
+		Clock:   port.SystemClock{}, ReadPrompt: platform.ReadPrompt, Random: rand.Float64, Off: disabled, Tracer: tracer, Log: log, Metrics: m,
 	})
 	m.Gauge("version", func() any { return g.Version() })
 	m.Gauge("config_staleness_ms", func() any { return g.ConfigStaleness().Milliseconds() })
@@ -74,24 +74,24 @@
 		return err
 	}
 	callers := &platform.Callers{Gateway: g, Log: log}
-	front, err := daemon.NewCallerServer(s.Listen.Caller, callers, nil)
+	callerServer, err := daemon.NewCallerServer(s.Listen.Caller, callers, nil)
 	if err != nil {
 		return err
 	}
-	front.TooLate = callers.TooLate()
+	callerServer.TooLate = callers.TooLate()
 	ready, readyLn, err := daemon.NewHTTPServer(s.Listen.Ready, platform.Ready(g), nil)
 	if err != nil {
 		return err
 	}
 	stop, _ := daemon.Signals()
-	serving, end := context.WithCancel(context.Background())
-	defer end()
+	serving, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
 	daemon.OnReload(serving, func() { reload(path, g, log) })
 	group, ctx := errgroup.WithContext(serving)
 	group.Go(func() error { return g.Run(ctx) })
 	group.Go(func() error { return servers.Run(ctx) })
 	group.Go(func() error { return peers.Run(ctx) })
-	group.Go(front.Serve)
+	group.Go(callerServer.Serve)
 	group.Go(func() error { return daemon.Serve(ctx, ready, readyLn) })
 	if s.Listen.Debug != "" {
 		debug, ln, err := daemon.NewHTTPServer(s.Listen.Debug, daemon.DebugHandler(), nil)
@@ -105,51 +105,52 @@
 	case <-stop.Done():
 	case <-ctx.Done():
 	}
-	drainPlatform(s, g, front, log)
-	end()
+	drainPlatform(s, g, callerServer, log)
+	stopServing()
 	err = group.Wait()
 	log.Info("stopped")
 	return err
 }
 
-// Parts of the time from SIGTERM until the process is killed.
+// Fractions of the grace period, the time from SIGTERM until the process is killed.
 const (
-	// acceptShare: callers hear of the stop meanwhile and go elsewhere.
+	// acceptShare is the part in which the host still accepts requests, until callers have
+	// been notified of the stop and use other hosts.
 	acceptShare = 0.3
-	// finishShare ends the rest, with time to spare for the exit itself.
-	finishShare = 0.92
+	// drainShare is the part after which the drain ends; the rest is for the exit itself.
+	drainShare = 0.92
 )
 
-// drainPlatform takes the host out of the callers' lists, serves on while they
-// still come, then lets the requests under way finish.
-func drainPlatform(s *settings.Entry, g *gateway.Gateway, front *daemon.CallerServer, log logr.Logger) {
+// drainPlatform removes the host from the callers' lists, accepts requests for a while longer,
+// then waits for the requests in flight.
+func drainPlatform(s *settings.Entry, g *gateway.Gateway, callerServer *daemon.CallerServer, log logr.Logger) {
 	grace := seconds(s.Limits.GraceS)
-	deadline, cancel := context.WithTimeout(context.Background(), time.Duration(finishShare*float64(grace)))
+	deadline, cancel := context.WithTimeout(context.Background(), time.Duration(drainShare*float64(grace)))
 	defer cancel()
 	log.Info("draining", "inflight", g.Inflight())
 	g.Drain()
-	front.StartDraining()
+	callerServer.StartDraining()
 	accept := time.NewTimer(time.Duration(acceptShare * float64(grace)))
 	defer accept.Stop()
 	<-accept.C
-	if cut := front.Finish(deadline); cut > 0 {
+	if cut := callerServer.Finish(deadline); cut > 0 {
 		log.Info("requests cut by the shutdown", "connections", cut, "inflight", g.Inflight())
 	}
 	for g.Inflight() > 0 && deadline.Err() == nil {
-		time.Sleep(drainPoll) // requests that other hosts sent here
+		time.Sleep(drainPoll) // requests forwarded by other hosts
 	}
 }
 
-// drainPoll is how often a stopping host looks whether it is idle.
+// drainPoll is the interval at which a draining host checks whether requests are in flight.
 const drainPoll = 20 * time.Millisecond
 
-// reload takes the seeds of changed settings.
+// reload reads the settings file again and applies its seeds.
 func reload(path string, g *gateway.Gateway, log logr.Logger) {
 	next := settings.DefaultEntry()
 	if err := settings.Load(path, next); err != nil {
-		log.Info("changed settings refused; the old ones stay in force", "reason", err.Error())
+		log.Info("changed settings rejected; the previous settings stay in force", "reason", err.Error())
 		return
 	}
 	g.SetSeeds(next.Fleet.PeerSeeds())
-	log.Info("settings read again", "seeds", next.Fleet.Seeds)
+	log.Info("settings reloaded", "seeds", next.Fleet.Seeds)
 }
--- a/cmd/sesame-load/main.go
+++ b/cmd/sesame-load/main.go
@@ -1,6 +1,6 @@
-// Command sesame-load drives a running deployment with an open loop of requests
-// and reports latencies, outcomes and every broken promise it saw. It exits with
-// 1 when a promise was broken.
+// Command sesame-load sends an open-loop load to a running deployment and reports latencies,
+// outcomes and every violated guarantee that it observed. It exits with status 1 after a
+// violation.
 package main
 
 import (
@@ -20,22 +20,22 @@
 	var teams, services, prompts, jsonPath, htmlPath string
 	o := load.Options{Stream: true}
 	flag.StringVar(&teams, "teams", "", "teams separated by spaces: name,key,region,entry-url[;entry-url],permitted-region[;permitted-region]")
-	flag.StringVar(&services, "services", "", "addresses of service stand-ins, for their execution counts, separated by commas")
-	flag.StringVar(&prompts, "prompts", "", "files with prompts, separated by commas")
+	flag.StringVar(&services, "services", "", "addresses of service stand-ins, separated by commas, whose execution counts are checked")
+	flag.StringVar(&prompts, "prompts", "", "files that each contain a prompt, separated by commas")
 	flag.StringVar(&o.Model, "model", "", "model")
 	flag.StringVar(&o.Service, "service", "", "service for orders")
 	flag.Float64Var(&o.Rate, "rate", 50, "requests per second")
-	flag.IntVar(&o.Count, "count", 1000, "requests in all")
-	flag.Float64Var(&o.ChatShare, "chat-share", 0.8, "share of chat requests; the rest are orders")
-	flag.BoolVar(&o.Stream, "stream", true, "stream the chat answers")
+	flag.IntVar(&o.Count, "count", 1000, "total number of requests")
+	flag.Float64Var(&o.ChatShare, "chat-share", 0.8, "fraction of chat requests, 0 to 1; the others are orders")
+	flag.BoolVar(&o.Stream, "stream", true, "request streamed chat answers")
 	flag.IntVar(&o.MaxTokens, "max-tokens", 40, "tokens of each answer")
 	flag.DurationVar(&o.Deadline, "deadline", 20*time.Second, "deadline of each request")
-	flag.IntVar(&o.Tries, "tries", 8, "sends of one request, the first included")
-	flag.Int64Var(&o.Seed, "seed", 1, "seed")
+	flag.IntVar(&o.Tries, "tries", 8, "maximum number of sends per request, including the first")
+	flag.Int64Var(&o.Seed, "seed", 1, "seed of the random load")
 	flag.StringVar(&jsonPath, "json", "", "write the report to this `file` as well")
 	flag.StringVar(&htmlPath, "html", "", "write the report as a page with plots to this `file`")
 	flag.Parse()
-	if err := fill(&o, teams, services, prompts); err != nil {
+	if err := applyFlags(&o, teams, services, prompts); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(daemon.ExitUsage)
 	}
@@ -58,11 +58,11 @@
 	}
 }
 
-func fill(o *load.Options, teams, services, prompts string) error {
+func applyFlags(o *load.Options, teams, services, prompts string) error {
 	for _, t := range strings.Fields(teams) {
 		parts := strings.Split(t, ",")
 		if len(parts) != 5 {
-			return fmt.Errorf("team %q: want name,key,region,entries,permitted", t)
+			return fmt.Errorf("invalid team %q: want name,key,region,entry-urls,permitted-regions", t)
 		}
 		o.Teams = append(o.Teams, load.Team{
 			Name: parts[0], Key: parts[1], Region: parts[2],
@@ -86,7 +86,7 @@
 		o.Prompts = []string{"which parts fit"}
 	}
 	if len(o.Teams) == 0 || o.Rate <= 0 {
-		return fmt.Errorf("-teams and a positive -rate are needed")
+		return fmt.Errorf("-teams and a positive -rate are required")
 	}
 	return nil
 }
--- a/cmd/sesame-standin/main.go
+++ b/cmd/sesame-standin/main.go
@@ -1,4 +1,4 @@
-// Command sesame-standin is a stand-in backend server, or client directory, for
+// Command sesame-standin simulates a backend server or the platform's client directory, for
 // development and tests.
 package main
 
@@ -29,7 +29,7 @@
 	seed                                                    int64
 }
 
-func parse() flags {
+func parseFlags() flags {
 	var f flags
 	flag.StringVar(&f.id, "id", "standin", "ID of the backend server")
 	flag.StringVar(&f.listen, "listen", "127.0.0.1:9000", "IP address and port")
@@ -37,31 +37,31 @@
 	flag.StringVar(&f.models, "models", "", "models or services, separated by commas")
 	flag.StringVar(&f.entries, "entries", "", "URLs of entry hosts, separated by commas")
 	flag.StringVar(&f.key, "key", "", "key for announcements")
-	flag.IntVar(&f.slots, "slots", 8, "requests at once")
-	flag.IntVar(&f.cacheBlocks, "cache-blocks", 512, "capacity of the prefix cache")
+	flag.IntVar(&f.slots, "slots", 8, "number of requests processed concurrently")
+	flag.IntVar(&f.cacheBlocks, "cache-blocks", 512, "capacity of the prefix cache, in blocks")
 	flag.Float64Var(&f.prefill, "prefill-rate", 20000, "prompt tokens per second")
-	flag.DurationVar(&f.decode, "decode", 5*time.Millisecond, "time of a token with a full batch")
-	flag.DurationVar(&f.work, "work", 5*time.Millisecond, "time of a service call")
-	flag.DurationVar(&f.lag, "lag", 500*time.Millisecond, "age of the load figures")
-	flag.DurationVar(&f.interval, "interval", time.Second, "interval of announcements")
-	flag.Float64Var(&f.gaps, "gaps", 0.02, "share of cache event batches that get lost")
-	flag.BoolVar(&f.ignoreFence, "ignore-fence", false, "ignore the fencing numbers of orders")
-	flag.StringVar(&f.faults, "faults", "", "faults, such as die=0.1,stall=0.02")
-	flag.StringVar(&f.crashOn, "crash-on", "", "end the process under a request whose body holds this text; empty for never")
-	flag.Int64Var(&f.seed, "seed", 1, "seed of the faults")
+	flag.DurationVar(&f.decode, "decode", 5*time.Millisecond, "decode time per token with a full batch")
+	flag.DurationVar(&f.work, "work", 5*time.Millisecond, "processing time of a service call")
+	flag.DurationVar(&f.lag, "lag", 500*time.Millisecond, "age of the announced load")
+	flag.DurationVar(&f.interval, "interval", time.Second, "interval between announcements")
+	flag.Float64Var(&f.gaps, "gaps", 0.02, "fraction of cache event batches to drop, 0 to 1")
+	flag.BoolVar(&f.ignoreFence, "ignore-fence", false, "accept orders with outdated fencing numbers")
+	flag.StringVar(&f.faults, "faults", "", "faults with their probabilities, such as die=0.1,stall=0.02")
+	flag.StringVar(&f.crashOn, "crash-on", "", "exit while processing a request whose body contains this text; empty disables this")
+	flag.Int64Var(&f.seed, "seed", 1, "seed for drawing faults")
 	flag.Parse()
 	return f
 }
 
 func main() {
-	f := parse()
+	f := parseFlags()
 	faults, err := standin.ParseFaults(f.faults, f.seed)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(daemon.ExitUsage)
 	}
 	router := mux.NewRouter()
-	ann := announcer(f)
+	ann := newAnnouncer(f)
 	switch f.kind {
 	case "engine":
 		e := standin.NewEngine(standin.EngineOptions{
@@ -78,7 +78,7 @@
 		mountDirectory(router)
 		ann = nil
 	default:
-		fmt.Fprintf(os.Stderr, "kind %q is not engine, service or directory\n", f.kind)
+		fmt.Fprintf(os.Stderr, "invalid -kind %q: want engine, service or directory\n", f.kind)
 		os.Exit(daemon.ExitUsage)
 	}
 	var handler http.Handler = router
@@ -91,25 +91,25 @@
 	}
 }
 
-func announcer(f flags) *standin.Announcer {
+func newAnnouncer(f flags) *standin.Announcer {
 	return &standin.Announcer{
-		ID: f.id, Entries: split(f.entries), Key: f.key, Interval: f.interval, Lag: f.lag, GapShare: f.gaps, Seed: f.seed,
+		ID: f.id, Entries: splitList(f.entries), Key: f.key, Interval: f.interval, Lag: f.lag, GapShare: f.gaps, Seed: f.seed,
 		Client: &http.Client{},
 		Base: backendhttp.Announcement{
-			Address: f.listen, Kind: f.kind, Models: split(f.models), Slots: uint32(f.slots),
+			Address: f.listen, Kind: f.kind, Models: splitList(f.models), Slots: uint32(f.slots),
 			PrefillRate: uint32(f.prefill), DecodeMS: uint32(f.decode.Milliseconds()),
 		},
 	}
 }
 
-func split(s string) []string {
+func splitList(s string) []string {
 	if s == "" {
 		return nil
 	}
 	return strings.Split(s, ",")
 }
 
-// serve announces and serves until a signal; what is in flight is finished.
+// serve announces the server and serves requests until a signal, then finishes those in flight.
 func serve(f flags, router http.Handler, ann *standin.Announcer) error {
 	srv, ln, err := daemon.NewHTTPServer(f.listen, router, nil)
 	if err != nil {
@@ -121,7 +121,7 @@
 		defer close(done)
 		if ann != nil {
 			ann.Run(ctx)
-			time.Sleep(ann.Interval) // requests sent before the leave was heard
+			time.Sleep(ann.Interval) // entry hosts may send requests until they have received the leave announcement
 		} else {
 			<-ctx.Done()
 		}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// mountDirectory is a stand-in of the platform's client directory.
+// mountDirectory adds the routes of a simulated client directory, which stores one list per region.
 func mountDirectory(r *mux.Router) {
 	var mu sync.Mutex
 	lists := map[string][]byte{}
--- a/cmd/sesamectl/main.go
+++ b/cmd/sesamectl/main.go
@@ -31,9 +31,9 @@
 	subcommands.Register(subcommands.FlagsCommand(), "help")
 	subcommands.Register(subcommands.CommandsCommand(), "help")
 	flag.Parse()
-	if verb := flag.Arg(0); verb != "" && !slices.Contains(names, verb) {
-		fmt.Fprintf(os.Stderr, "there is no verb %q", verb)
-		if near := settings.Nearest(verb, names); near != "" {
+	if command := flag.Arg(0); command != "" && !slices.Contains(names, command) {
+		fmt.Fprintf(os.Stderr, "unknown command %q", command)
+		if near := settings.Nearest(command, names); near != "" {
 			fmt.Fprintf(os.Stderr, "; did you mean %q?", near)
 		}
 		fmt.Fprintln(os.Stderr, " See sesamectl help.")
