--- a/deploy/demohelper/main.go
+++ b/deploy/demohelper/main.go
@@ -1,5 +1,5 @@
-// Command demohelper does the small text work of deploy/demo.sh: it makes
-// request bodies, joins the tokens of streams and prints spans.
+// Command demohelper processes text for deploy/demo.sh: it generates request bodies, joins the
+// tokens of streams and prints spans.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	case len(os.Args) == 3 && os.Args[1] == "spans":
 		err = spans(os.Stdin, os.Args[2])
 	default:
-		fmt.Fprintln(os.Stderr, "use: demohelper body MODEL FILE | text | spans REQUEST_ID")
+		fmt.Fprintln(os.Stderr, "usage: demohelper body MODEL FILE | text | spans REQUEST_ID")
 		os.Exit(2)
 	}
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// body prints a streamed chat request whose prompt is the file's text.
+// body prints the body of a streamed chat request whose prompt is the file's content.
 func body(model, file string) error {
 	prompt, err := os.ReadFile(file)
 	if err != nil {
@@ -44,7 +44,7 @@
 	})
 }
 
-// text prints the joined tokens of a stream.
+// text prints the joined tokens of a stream of chat events.
 func text(r io.Reader) error {
 	fmt.Print("  answer: ")
 	lines := bufio.NewScanner(r)
@@ -71,7 +71,7 @@
 	return lines.Err()
 }
 
-// attribute is a key and value as the span exporter writes them.
+// attribute is a key and a value in the span exporter's JSON.
 type attribute struct {
 	Key   string
 	Value struct{ Value any }
@@ -86,7 +86,7 @@
 	Resource    []attribute
 }
 
-func value(list []attribute, keys ...string) string {
+func attributeValue(list []attribute, keys ...string) string {
 	for _, k := range keys {
 		for _, a := range list {
 			if a.Key == k {
@@ -97,7 +97,7 @@
 	return ""
 }
 
-// spans prints the spans of the trace that a request belongs to, by start.
+// spans prints the spans of the trace that contains a request, ordered by start time.
 func spans(r io.Reader, request string) error {
 	var all []span
 	trace := ""
@@ -108,7 +108,7 @@
 			return err
 		}
 		all = append(all, s)
-		if value(s.Attributes, "sesame.request_id") == request {
+		if attributeValue(s.Attributes, "sesame.request_id") == request {
 			trace = s.SpanContext.TraceID
 		}
 	}
@@ -116,8 +116,8 @@
 	for _, s := range all {
 		if s.SpanContext.TraceID == trace {
 			fmt.Printf("  %s  %9.3f ms  %-5s %-13s %s\n", s.StartTime.Format("15:04:05.000000"),
-				float64(s.EndTime.Sub(s.StartTime).Microseconds())/1000, value(s.Resource, "host.id"), s.Name,
-				value(s.Attributes, "sesame.to", "sesame.from", "sesame.target", "sesame.home"))
+				float64(s.EndTime.Sub(s.StartTime).Microseconds())/1000, attributeValue(s.Resource, "host.id"), s.Name,
+				attributeValue(s.Attributes, "sesame.to", "sesame.from", "sesame.target", "sesame.home"))
 		}
 	}
 	return nil
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load drives entry hosts with an open loop of requests made from a
-// seed, checks every answer in full, and reports latencies, outcomes and every
-// broken promise that it saw.
+// Package load sends an open-loop load, generated from a seed, to entry hosts, checks every
+// answer completely, and reports latencies, outcomes and every violated guarantee that it
+// observed.
 package load
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/sesamefork/sesamefork/internal/failure"
 )
 
-// Team is who calls.
+// Team is a team whose callers send requests.
 type Team struct {
 	Name    string   `json:"name"`
 	Key     string   `json:"-"`
-	Region  string   `json:"region"`  // where it calls from
-	Entries []string `json:"entries"` // entry hosts it knows at the start
-	Regions []string `json:"regions"` // where its requests may be answered
+	Region  string   `json:"region"`  // region of its callers
+	Entries []string `json:"entries"` // URLs of the initial entry hosts
+	Regions []string `json:"regions"` // regions in which its requests may be answered
 }
 
 // Options configures a run.
@@ -31,15 +31,15 @@
 	Teams     []Team
 	Model     string
 	Service   string
-	Services  []string // addresses of service stand-ins, for their counts
+	Services  []string // addresses of service stand-ins whose execution counts are checked
 	Rate      float64  // requests per second
-	Count     int      // requests in all
-	ChatShare float64  // share of chat requests; the rest are orders
+	Count     int      // total number of requests
+	ChatShare float64  // fraction of chat requests, 0 to 1; the others are orders
 	Stream    bool
 	MaxTokens int
 	Prompts   []string
 	Deadline  time.Duration
-	Tries     int // sends of one request, the first included
+	Tries     int // maximum number of sends per request, including the first
 	Seed      int64
 }
 
@@ -49,7 +49,7 @@
 	Answered  int            `json:"answered"`
 	NotRun    int            `json:"refused_not_run"`
 	Unknown   int            `json:"unknown"`
-	Cut       int            `json:"connections_cut"` // sends that ended without any outcome
+	Cut       int            `json:"connections_cut"` // sends whose connection ended before an outcome was received
 	Resends   int            `json:"resends"`
 	Away      int            `json:"answered_in_another_region"`
 	Lost      int            `json:"lost"`
@@ -67,7 +67,7 @@
 	MaxStall  float64        `json:"longest_time_without_an_answer_ms"`
 }
 
-// Latency summarises a histogram, in ms.
+// Latency contains quantiles of a histogram, in ms.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -80,30 +80,30 @@
 	return &Latency{h.Count(), ms(50), ms(95), ms(99)}
 }
 
-// Violations returns the number of broken promises.
+// Violations returns the number of violated guarantees.
 func (r *Report) Violations() int {
 	return r.Lost + r.Doubled + r.Misplaced + r.Wrong + r.Untrue
 }
 
-// maxBroken bounds the broken promises described in a report.
+// maxBroken bounds the number of violations that a report describes.
 const maxBroken = 50
 
 // runner is the state of one run.
 type runner struct {
-	o      Options
-	client *http.Client
-	mu     sync.Mutex
-	rep    Report
-	ttft   *metrics.Histogram
-	gap    *metrics.Histogram
-	total  *metrics.Histogram
-	orders *metrics.Histogram
-	told   map[string]failure.Outcome // last outcome told, by order reference
-	lists  map[string]list            // entry hosts by team
-	ended  []time.Time
+	o            Options
+	client       *http.Client
+	mu           sync.Mutex
+	rep          Report
+	ttft         *metrics.Histogram
+	gap          *metrics.Histogram
+	total        *metrics.Histogram
+	orders       *metrics.Histogram
+	lastOutcomes map[string]failure.Outcome // last outcome received, by order reference
+	hostLists    map[string]hostList        // entry hosts by team
+	completions  []time.Time
 }
 
-type list struct {
+type hostList struct {
 	urls  []string
 	until time.Time
 }
@@ -112,7 +112,7 @@
 func Run(ctx context.Context, o Options) *Report {
 	r := &runner{
 		o: o, ttft: metrics.NewHistogram(), gap: metrics.NewHistogram(), total: metrics.NewHistogram(),
-		orders: metrics.NewHistogram(), told: map[string]failure.Outcome{}, lists: map[string]list{},
+		orders: metrics.NewHistogram(), lastOutcomes: map[string]failure.Outcome{}, hostLists: map[string]hostList{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}},
 	}
 	r.rep.Failures = map[string]int{}
@@ -130,7 +130,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.carryOut(ctx, job)
+			r.perform(ctx, job)
 		}()
 	}
 	wg.Wait()
@@ -142,20 +142,20 @@
 
 func (r *runner) finish() *Report {
 	r.rep.TTFT, r.rep.Gap, r.rep.Total, r.rep.Orders = summarise(r.ttft), summarise(r.gap), summarise(r.total), summarise(r.orders)
-	slices.SortFunc(r.ended, time.Time.Compare)
-	for i := 1; i < len(r.ended); i++ {
-		r.rep.MaxStall = max(r.rep.MaxStall, float64(r.ended[i].Sub(r.ended[i-1]).Microseconds())/1000)
+	slices.SortFunc(r.completions, time.Time.Compare)
+	for i := 1; i < len(r.completions); i++ {
+		r.rep.MaxStall = max(r.rep.MaxStall, float64(r.completions[i].Sub(r.completions[i-1]).Microseconds())/1000)
 	}
 	return &r.rep
 }
 
-// job is one request of the run.
+// job is one request of the run, which may be sent several times.
 type job struct {
 	team      Team
 	order     bool
 	reference string
 	prompt    string
-	pick      int // for choosing among entry hosts
+	pick      int // random number for choosing an entry host
 }
 
 func (r *runner) job(i int, rnd *rand.Rand) job {
@@ -169,8 +169,8 @@
 	return j
 }
 
-// broken records a broken promise.
-func (r *runner) broken(counter *int, format string, args ...any) {
+// reportViolation counts and describes a violated guarantee.
+func (r *runner) reportViolation(counter *int, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	*counter++
@@ -179,24 +179,24 @@
 	}
 }
 
-// carryOut sends a request, and again as its outcomes advise, until it has a
-// final answer.
-func (r *runner) carryOut(ctx context.Context, j job) {
+// perform sends a request, and resends it after a refusal or an unknown outcome, until it is
+// answered, its deadline passes or its tries are used up.
+func (r *runner) perform(ctx context.Context, j job) {
 	issued := time.Now()
 	deadline := issued.Add(r.o.Deadline)
-	res := sent{}
+	res := sendResult{}
 	cutOnly := true
 	for try := 1; try <= r.o.Tries; try++ {
 		hosts := r.entryHosts(ctx, j)
 		if len(res.hosts) > 0 {
-			hosts = res.hosts // the refusal named where to go
+			hosts = res.hosts // the refusal named the entry hosts to use
 		}
 		res = r.send(ctx, j, hosts[(try-1+j.pick%2)%len(hosts)], issued, deadline)
 		cutOnly = cutOnly && res.cut
 		if res.outcome == failure.Done || ctx.Err() != nil || time.Now().After(deadline) {
 			break
 		}
-		r.note(func() { r.rep.Resends++ })
+		r.withLock(func() { r.rep.Resends++ })
 		pause := min(max(res.retryAfter, 20*time.Millisecond), 2*time.Second)
 		select {
 		case <-time.After(min(pause, time.Until(deadline))):
@@ -206,25 +206,25 @@
 	r.record(j, res, cutOnly, time.Since(issued))
 }
 
-func (r *runner) note(f func()) {
+func (r *runner) withLock(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-func (r *runner) record(j job, res sent, cutOnly bool, took time.Duration) {
+func (r *runner) record(j job, res sendResult, cutOnly bool, took time.Duration) {
 	if cutOnly && res.outcome != failure.Done {
-		r.broken(&r.rep.Lost, "a request of %s got no outcome at all: %s", j.team.Name, res.detail)
+		r.reportViolation(&r.rep.Lost, "a request of %s received no outcome: %s", j.team.Name, res.detail)
 	}
 	if res.outcome == failure.Done && !slices.Contains(j.team.Regions, res.region) {
-		r.broken(&r.rep.Misplaced, "a request of %s was answered in %q, permitted are %v", j.team.Name, res.region, j.team.Regions)
+		r.reportViolation(&r.rep.Misplaced, "a request of %s was answered in region %q, permitted are %v", j.team.Name, res.region, j.team.Regions)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rep.Requests++
-	r.ended = append(r.ended, time.Now())
+	r.completions = append(r.completions, time.Now())
 	if j.order {
-		r.told[j.reference] = res.outcome
+		r.lastOutcomes[j.reference] = res.outcome
 	}
 	switch res.outcome {
 	case failure.Done:
@@ -246,37 +246,37 @@
 	}
 }
 
-// entryHosts asks the system which hosts to use, while the last list lives.
+// entryHosts returns the team's entry hosts. It requests a new list when the last one has expired.
 func (r *runner) entryHosts(ctx context.Context, j job) []string {
 	r.mu.Lock()
-	l := r.lists[j.team.Name]
+	l := r.hostLists[j.team.Name]
 	r.mu.Unlock()
 	if time.Now().Before(l.until) {
 		return l.urls
 	}
 	for _, e := range append(slices.Clone(l.urls), j.team.Entries...) {
-		if fresh, ok := r.ask(ctx, j.team, e); ok {
-			r.note(func() { r.lists[j.team.Name] = fresh })
+		if fresh, ok := r.lookUpEntryHosts(ctx, j.team, e); ok {
+			r.withLock(func() { r.hostLists[j.team.Name] = fresh })
 			return fresh.urls
 		}
 	}
 	return j.team.Entries
 }
 
-// askTimeout bounds the question for entry hosts.
-const askTimeout = 500 * time.Millisecond
+// lookupTimeout bounds a request for the list of entry hosts.
+const lookupTimeout = 500 * time.Millisecond
 
-func (r *runner) ask(ctx context.Context, t Team, url string) (list, bool) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (r *runner) lookUpEntryHosts(ctx context.Context, t Team, url string) (hostList, bool) {
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/v1/entry-hosts", nil)
 	if err != nil {
-		return list{}, false
+		return hostList{}, false
 	}
 	req.Header.Set("Authorization", "Bearer "+t.Key)
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return list{}, false
+		return hostList{}, false
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var body struct {
@@ -286,22 +286,22 @@
 		} `json:"entry_hosts"`
 	}
 	if json.NewDecoder(resp.Body).Decode(&body) != nil || len(body.Hosts) == 0 {
-		return list{}, false
+		return hostList{}, false
 	}
-	out := list{until: time.Now().Add(time.Duration(body.TTLMS) * time.Millisecond / 5)}
+	out := hostList{until: time.Now().Add(time.Duration(body.TTLMS) * time.Millisecond / 5)}
 	for _, h := range body.Hosts {
 		out.urls = append(out.urls, h.URL)
 	}
 	return out, true
 }
 
-// checkExecutions compares what callers were told with what the services did.
+// checkExecutions compares the outcomes that callers received with the services' execution counts.
 func (r *runner) checkExecutions() {
 	counts := map[string]int{}
 	for _, addr := range r.o.Services {
 		resp, err := r.client.Get("http://" + addr + "/admin/executions")
 		if err != nil {
-			r.broken(&r.rep.Lost, "the counts of %s cannot be read: %s", addr, err)
+			r.reportViolation(&r.rep.Lost, "reading the execution counts of %s: %s", addr, err)
 			continue
 		}
 		var here map[string]int
@@ -311,15 +311,15 @@
 			counts[ref] += n
 		}
 	}
-	for ref, outcome := range r.told {
+	for ref, outcome := range r.lastOutcomes {
 		n := counts[ref]
 		switch {
 		case n > 1:
-			r.broken(&r.rep.Doubled, "%s ran %d times", ref, n)
+			r.reportViolation(&r.rep.Doubled, "%s was executed %d times", ref, n)
 		case n == 0 && outcome == failure.Done:
-			r.broken(&r.rep.Lost, "%s was answered but never ran", ref)
+			r.reportViolation(&r.rep.Lost, "%s was answered but not executed", ref)
 		case n > 0 && outcome == failure.NotRun:
-			r.broken(&r.rep.Untrue, "%s was told not run but ran", ref)
+			r.reportViolation(&r.rep.Untrue, "%s was reported as not run but was executed", ref)
 		}
 	}
 }
--- a/internal/load/page.go
+++ b/internal/load/page.go
@@ -9,7 +9,7 @@
 type bar struct {
 	Name  string
 	Value float64
-	Width float64 // of the longest, 0 to 100
+	Width float64 // in percent of the longest bar
 }
 
 type plot struct {
@@ -22,9 +22,9 @@
 <style>body{font:14px sans-serif;max-width:60em;margin:2em auto}td{padding:2px 8px}.b{background:#47a;height:14px}</style>
 <h1>sesame-load</h1>
 <p>{{.Report.Requests}} requests in {{printf "%.1f" .Report.Seconds}} s: {{.Report.Answered}} answered, {{.Report.NotRun}} refused (not run),
-{{.Report.Unknown}} unknown, {{.Report.Away}} answered in another region. Broken promises: {{.Report.Violations}}.</p>
+{{.Report.Unknown}} unknown, {{.Report.Away}} answered in another region. Violated guarantees: {{.Report.Violations}}.</p>
 {{range .Plots}}<h2>{{.Title}} ({{.Unit}})</h2><table>{{range .Bars}}<tr><td>{{.Name}}<td>{{printf "%.2f" .Value}}<td style="width:30em"><div class="b" style="width:{{printf "%.1f" .Width}}%"></div>{{end}}</table>{{end}}
-{{if .Report.Broken}}<h2>Broken promises</h2><ul>{{range .Report.Broken}}<li>{{.}}{{end}}</ul>{{end}}`))
+{{if .Report.Broken}}<h2>Violated guarantees</h2><ul>{{range .Report.Broken}}<li>{{.}}{{end}}</ul>{{end}}`))
 
 // Page returns the report as an HTML page with plots.
 func Page(r *Report) []byte {
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -18,32 +18,32 @@
 	"github.com/sesamefork/sesamefork/internal/standin"
 )
 
-// sent is how one send of a request ended.
-type sent struct {
+// sendResult is the result of one send of a request.
+type sendResult struct {
 	outcome    failure.Outcome
 	code       string
 	detail     string
 	region     string
 	retryAfter time.Duration
-	hosts      []string // entry hosts to use instead
+	hosts      []string // URLs of the entry hosts to use instead
 	cut        bool     // the connection ended without an outcome
 }
 
-// send sends a request to an entry host and checks the answer in full.
-func (r *runner) send(ctx context.Context, j job, host string, issued, deadline time.Time) sent {
+// send sends a request to an entry host and checks the answer completely.
+func (r *runner) send(ctx context.Context, j job, host string, issued, deadline time.Time) sendResult {
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(2*time.Second))
 	defer cancel()
 	req, err := r.request(ctx, j, host, issued, deadline)
 	if err != nil {
-		return sent{outcome: failure.NotRun, code: "bad-request", detail: err.Error()}
+		return sendResult{outcome: failure.NotRun, code: "bad-request", detail: err.Error()}
 	}
 	began := time.Now()
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return r.cut(err)
+		return r.connectionLost(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	out := sent{region: resp.Header.Get(callerhttp.HeaderRegion), outcome: failure.Done}
+	out := sendResult{region: resp.Header.Get(callerhttp.HeaderRegion), outcome: failure.Done}
 	if resp.StatusCode != http.StatusOK {
 		return r.problem(resp)
 	}
@@ -55,19 +55,19 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return r.cut(err)
+		return r.connectionLost(err)
 	}
 	r.ttft.Observe(time.Since(began))
 	text := promptText(j.prompt)
 	if want := standin.Whole(r.o.Model, text, r.o.MaxTokens, len(text)/4); !bytes.Equal(body, want) {
-		r.broken(&r.rep.Wrong, "an answer of %d bytes, want %d", len(body), len(want))
+		r.reportViolation(&r.rep.Wrong, "answer of %d bytes differs from the expected %d bytes", len(body), len(want))
 	}
 	return out
 }
 
-func (r *runner) cut(err error) sent {
-	r.note(func() { r.rep.Cut++ })
-	return sent{outcome: failure.Unknown, code: "connection", detail: err.Error(), cut: true}
+func (r *runner) connectionLost(err error) sendResult {
+	r.withLock(func() { r.rep.Cut++ })
+	return sendResult{outcome: failure.Unknown, code: "connection", detail: err.Error(), cut: true}
 }
 
 func (r *runner) request(ctx context.Context, j job, host string, issued, deadline time.Time) (*http.Request, error) {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // the run decides about resends itself
+	req.GetBody = nil // no resends by the HTTP client: perform decides on them
 	req.Header.Set("Authorization", "Bearer "+j.team.Key)
 	left := max(1, time.Until(deadline).Milliseconds())
 	req.Header.Set(callerhttp.HeaderDeadline, strconv.FormatInt(left, 10))
@@ -98,23 +98,23 @@
 	return req, nil
 }
 
-// promptText is the text that the engine sees of a prompt.
+// promptText returns the text that the engine extracts from a chat with one prompt.
 func promptText(prompt string) string { return "user\n" + prompt + "\n" }
 
-func (r *runner) problem(resp *http.Response) sent {
+func (r *runner) problem(resp *http.Response) sendResult {
 	var d problem.Document
 	if err := json.NewDecoder(resp.Body).Decode(&d); err != nil {
-		return sent{outcome: failure.Unknown, code: strconv.Itoa(resp.StatusCode), detail: "no problem document"}
+		return sendResult{outcome: failure.Unknown, code: strconv.Itoa(resp.StatusCode), detail: "no problem document"}
 	}
-	return sentOf(d)
+	return resultOf(d)
 }
 
-func sentOf(d problem.Document) sent {
+func resultOf(d problem.Document) sendResult {
 	f, ok := d.Error()
 	if !ok {
-		return sent{outcome: failure.Unknown, code: d.Type, detail: d.Detail}
+		return sendResult{outcome: failure.Unknown, code: d.Type, detail: d.Detail}
 	}
-	out := sent{outcome: f.Outcome, code: string(f.Code), detail: f.Detail, retryAfter: f.RetryAfter}
+	out := sendResult{outcome: f.Outcome, code: string(f.Code), detail: f.Detail, retryAfter: f.RetryAfter}
 	if f.Code == failure.Residency {
 		out.hosts = f.EntryHosts
 	}
@@ -124,20 +124,20 @@
 	return out
 }
 
-func (r *runner) readOrder(j job, resp *http.Response, out sent) sent {
+func (r *runner) readOrder(j job, resp *http.Response, out sendResult) sendResult {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return r.cut(err)
+		return r.connectionLost(err)
 	}
 	var receipt standin.Receipt
 	if json.Unmarshal(body, &receipt) != nil || receipt.Reference != j.reference {
-		r.broken(&r.rep.Wrong, "the answer to %s is %.80q", j.reference, body)
+		r.reportViolation(&r.rep.Wrong, "wrong answer to %s: %.80q", j.reference, body)
 	}
 	return out
 }
 
-// readStream reads a stream and compares it with the undisturbed one.
-func (r *runner) readStream(j job, resp *http.Response, out sent, began time.Time) sent {
+// readStream reads a stream and compares its events with the expected ones.
+func (r *runner) readStream(j job, resp *http.Response, out sendResult, began time.Time) sendResult {
 	want := standin.StreamEvents(r.o.Model, promptText(j.prompt), r.o.MaxTokens)
 	reader := bufio.NewReader(resp.Body)
 	last := began
@@ -145,20 +145,20 @@
 		event, err := readEvent(reader)
 		if err != nil && errors.Is(err, io.EOF) && event == "" {
 			if i < len(want) {
-				r.broken(&r.rep.Wrong, "a stream of %d of %d events ended as if it were whole", i, len(want))
+				r.reportViolation(&r.rep.Wrong, "stream ended as complete after %d of %d events", i, len(want))
 			}
 			return out
 		}
 		if err != nil {
-			return r.cut(err)
+			return r.connectionLost(err)
 		}
 		if data, ok := strings.CutPrefix(event, "event: error\ndata: "); ok {
 			var d problem.Document
 			_ = json.Unmarshal([]byte(data), &d)
-			return sentOf(d)
+			return resultOf(d)
 		}
 		if i >= len(want) || event != want[i] {
-			r.broken(&r.rep.Wrong, "event %d is %.60q", i, event)
+			r.reportViolation(&r.rep.Wrong, "wrong event %d of a stream: %.60q", i, event)
 			return out
 		}
 		r.observeToken(i, &last)
--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -11,17 +11,17 @@
 	"github.com/sesamefork/sesamefork/internal/adapter/backendhttp"
 )
 
-// Announcer announces a stand-in to the entry hosts of its failure domain.
+// Announcer sends a stand-in's announcements to the entry hosts of its failure domain.
 type Announcer struct {
 	ID       string
-	Base     backendhttp.Announcement // what does not change
+	Base     backendhttp.Announcement // the fields that stay the same in each announcement
 	Load     func(*backendhttp.Announcement)
 	Changes  func() (added, evicted []uint64) // cache events; may be nil
-	Entries  []string                         // entry hosts to start with
+	Entries  []string                         // URLs of entry hosts, the next to be used first
 	Key      string
 	Interval time.Duration
-	Lag      time.Duration // age of the load figures
-	GapShare float64       // share of cache event batches that get lost
+	Lag      time.Duration // age of the announced load
+	GapShare float64       // fraction of cache event batches that are dropped, 0 to 1
 	Seed     int64
 	Client   *http.Client
 
@@ -30,7 +30,7 @@
 	events  uint64
 }
 
-// Run announces until ctx ends, then announces that it leaves.
+// Run sends an announcement every Interval until ctx ends, then one with Leaving set.
 func (a *Announcer) Run(ctx context.Context) {
 	rnd := rand.New(rand.NewSource(a.Seed))
 	a.Base.Incarnation = uint64(time.Now().UnixMilli())
@@ -51,7 +51,7 @@
 	}
 }
 
-// announce sends one announcement to the first entry host that takes it.
+// announce sends one announcement to the first entry host that accepts it.
 func (a *Announcer) announce(ctx context.Context) {
 	a.Base.Sequence++
 	now := a.Base
@@ -69,16 +69,17 @@
 		if !a.post(ctx, e+"/v1/backend-servers/"+a.ID+"/announcement", now, &reply) {
 			continue
 		}
-		a.follow(i, reply.AnnounceTo)
+		a.reorderEntries(i, reply.AnnounceTo)
 		return
 	}
 }
 
-// follow takes over the order of entry hosts that the reply names, which spreads
-// the servers over the hosts, and keeps the one that worked when it names none.
-func (a *Announcer) follow(worked int, to []string) {
+// reorderEntries moves the entry hosts that the reply names to the front, in the reply's order,
+// which distributes the servers over the hosts. If the reply names none, the host that accepted
+// the announcement is used first.
+func (a *Announcer) reorderEntries(accepted int, to []string) {
 	if len(to) == 0 {
-		a.Entries[0], a.Entries[worked] = a.Entries[worked], a.Entries[0]
+		a.Entries[0], a.Entries[accepted] = a.Entries[accepted], a.Entries[0]
 		return
 	}
 	known := map[string]bool{}
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -2,44 +2,44 @@
 
 import "container/list"
 
-// prefixCache is a least-recently-used set of prompt prefix blocks.
+// prefixCache is an LRU cache of prompt prefix blocks.
 type prefixCache struct {
-	max     int
-	order   *list.List // most recent first
-	at      map[uint64]*list.Element
-	added   []uint64
-	evicted []uint64
-	hits    int64
-	asked   int64
+	max      int
+	order    *list.List // most recently used first
+	elements map[uint64]*list.Element
+	added    []uint64
+	evicted  []uint64
+	hits     int64
+	lookups  int64
 }
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{max: max(limit, 1), order: list.New(), at: map[uint64]*list.Element{}}
+	return &prefixCache{max: max(limit, 1), order: list.New(), elements: map[uint64]*list.Element{}}
 }
 
-func (c *prefixCache) has(p uint64) bool { return c.at[p] != nil }
+func (c *prefixCache) has(p uint64) bool { return c.elements[p] != nil }
 
-// use returns how many leading blocks of the chain were held, and holds all of
-// them from now on.
+// use returns how many leading blocks of the chain were cached, and adds all of its blocks to the
+// cache.
 func (c *prefixCache) use(chain []uint64) int {
 	covered := 0
 	for covered < len(chain) && c.has(chain[covered]) {
 		covered++
 	}
 	c.hits += int64(covered)
-	c.asked += int64(len(chain))
+	c.lookups += int64(len(chain))
 	for _, p := range chain {
-		if e := c.at[p]; e != nil {
+		if e := c.elements[p]; e != nil {
 			c.order.MoveToFront(e)
 			continue
 		}
-		c.at[p] = c.order.PushFront(p)
+		c.elements[p] = c.order.PushFront(p)
 		c.added = append(c.added, p)
 	}
 	for c.order.Len() > c.max {
 		last := c.order.Back()
 		p := c.order.Remove(last).(uint64)
-		delete(c.at, p)
+		delete(c.elements, p)
 		c.evicted = append(c.evicted, p)
 	}
 	return covered
--- a/internal/standin/crash.go
+++ b/internal/standin/crash.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// ExitCrashed is the exit code of a stand-in that a request crashed.
+// ExitCrashed is the exit code of a stand-in that was crashed by a request.
 const ExitCrashed = 7
 
-// crashAfter is how long a stand-in runs a crashing request before its process ends.
+// crashAfter is the time between the start of a crashing request and the exit of the process.
 const crashAfter = 15 * time.Millisecond
 
-// CrashOn ends the process soon after it began to run a request whose body holds the mark.
+// CrashOn returns a handler that exits the process with ExitCrashed, crashAfter the start of a
+// request whose body contains the mark, and passes all other requests to next.
 func CrashOn(mark string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -24,27 +24,27 @@
 	Models       []string
 	Slots        int
 	PrefillRate  float64       // prompt tokens per second
-	Decode       time.Duration // per token with a full batch
+	Decode       time.Duration // decode time per token with a full batch
 	CacheBlocks  int           // capacity of the prefix cache in blocks
 	IgnoresFence bool
 	Faults       *Faults
 }
 
-// Engine is a stand-in model engine.
+// Engine simulates a model engine with continuous batching and a prefix cache.
 type Engine struct {
 	o       EngineOptions
 	mu      sync.Mutex
 	running int
-	queue   []*job
+	queue   []*waiter
 	cache   *prefixCache
 	fence   uint64
 	orders  []port.Order
 	loaded  map[string]bool
-	served  map[string]int // attempts started, by request ID
+	served  map[string]int // number of attempts started, by request ID
 	tokens  int64
 }
 
-type job struct {
+type waiter struct {
 	priority int
 	at       time.Time
 	ready    chan struct{}
@@ -70,7 +70,7 @@
 	e.o.Faults.mount(r)
 }
 
-// acquire waits for a slot of the batch; higher priorities go first.
+// acquire waits for a slot of the batch. Slots are granted by priority, the highest first.
 func (e *Engine) acquire(ctx context.Context, priority int) error {
 	e.mu.Lock()
 	if e.running < e.o.Slots {
@@ -78,7 +78,7 @@
 		e.mu.Unlock()
 		return nil
 	}
-	j := &job{priority: priority, at: time.Now(), ready: make(chan struct{})}
+	j := &waiter{priority: priority, at: time.Now(), ready: make(chan struct{})}
 	i := sort.Search(len(e.queue), func(i int) bool { return e.queue[i].priority < priority })
 	e.queue = append(e.queue, nil)
 	copy(e.queue[i+1:], e.queue[i:])
@@ -93,8 +93,8 @@
 	}
 }
 
-// cancel takes a job out of the queue, or gives back the slot it just got.
-func (e *Engine) cancel(j *job) {
+// cancel removes a waiter from the queue, or releases its slot if it has just been granted one.
+func (e *Engine) cancel(j *waiter) {
 	e.mu.Lock()
 	for i, q := range e.queue {
 		if q == j {
@@ -118,8 +118,8 @@
 	e.running--
 }
 
-// step returns the time of one token at the present size of the batch.
-func (e *Engine) step() time.Duration {
+// tokenTime returns the decode time per token at the current batch size.
+func (e *Engine) tokenTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	fill := float64(e.running) / float64(e.o.Slots)
@@ -162,7 +162,7 @@
 	e.mu.Lock()
 	known := e.loaded[p.Model]
 	e.mu.Unlock()
-	if !known || e.o.Faults.hit(FaultRefuse) {
+	if !known || e.o.Faults.draw(FaultRefuse) {
 		w.Header().Set(enginehttp.HeaderOutcome, "not_run")
 		http.Error(w, `{"error":"not started"}`, http.StatusServiceUnavailable)
 		return
@@ -175,7 +175,7 @@
 	e.mu.Lock()
 	e.served[r.Header.Get("Sesame-Request-Id")]++
 	e.mu.Unlock()
-	if e.o.Faults.hit(FaultStall) {
+	if e.o.Faults.draw(FaultStall) {
 		<-r.Context().Done()
 		return
 	}
@@ -186,20 +186,20 @@
 		e.stream(w, r, p)
 		return
 	}
-	e.whole(w, r, p)
+	e.sendWhole(w, r, p)
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, p *entry.Prompt) {
+func (e *Engine) sendWhole(w http.ResponseWriter, r *http.Request, p *entry.Prompt) {
 	n := int(p.MaxTokens)
 	for range n {
-		if !pause(r.Context(), e.step()) {
+		if !pause(r.Context(), e.tokenTime()) {
 			return
 		}
 	}
 	data := Whole(p.Model, p.Text, n, int(entry.EstimateTokens(p.Text)))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	if e.o.Faults.hit(FaultDie) {
+	if e.o.Faults.draw(FaultDie) {
 		_, _ = w.Write(data[:len(data)/2])
 		panic(http.ErrAbortHandler)
 	}
@@ -211,19 +211,19 @@
 	skip, _ := strconv.Atoi(r.Header.Get(enginehttp.HeaderResume))
 	skip = min(max(skip, 0), len(events)-1)
 	dieAt := -1
-	if e.o.Faults.hit(FaultDie) {
+	if e.o.Faults.draw(FaultDie) {
 		dieAt = skip + (len(events)-skip)/2
 	}
 	rc := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := skip; i < len(events); i++ {
-		if !pause(r.Context(), e.step()) {
+		if !pause(r.Context(), e.tokenTime()) {
 			return
 		}
 		if i == dieAt {
 			panic(http.ErrAbortHandler)
 		}
-		if e.o.Faults.hit(FaultLate) {
+		if e.o.Faults.draw(FaultLate) {
 			pause(r.Context(), 200*time.Millisecond)
 		}
 		if _, err := io.WriteString(w, events[i]); err != nil || rc.Flush() != nil {
@@ -233,13 +233,13 @@
 		e.tokens++
 		e.mu.Unlock()
 	}
-	if e.o.Faults.hit(FaultTwice) {
+	if e.o.Faults.draw(FaultTwice) {
 		_, _ = io.WriteString(w, events[len(events)-2]+events[len(events)-1])
 	}
 }
 
-// order carries out an order; with an old fencing number it is refused, unless
-// the engine ignores the numbers.
+// order executes an order. It rejects an outdated fencing number, unless the engine ignores
+// fencing numbers.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o port.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -250,7 +250,7 @@
 	defer e.mu.Unlock()
 	reply := enginehttp.OrderReply{Checked: !e.o.IgnoresFence}
 	if reply.Checked && o.Fence <= e.fence {
-		reply.Error = "an order with number " + strconv.FormatUint(e.fence, 10) + " was carried out"
+		reply.Error = "an order with fencing number " + strconv.FormatUint(e.fence, 10) + " was already executed"
 		w.WriteHeader(http.StatusConflict)
 		_ = json.NewEncoder(w).Encode(reply)
 		return
@@ -266,7 +266,7 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// kv is an exported cache entry: the prefixes that it holds.
+// kv is an exported cache entry: the prefixes that it contains.
 type kv struct {
 	Prefixes []uint64 `json:"prefixes"`
 }
@@ -294,7 +294,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Stats is what a stand-in has done.
+// Stats holds the counters of an engine.
 type Stats struct {
 	Served map[string]int `json:"served"`
 	Tokens int64          `json:"tokens"`
@@ -306,7 +306,7 @@
 func (e *Engine) stats(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(Stats{e.served, e.tokens, e.orders, e.cache.hits, e.cache.asked})
+	_ = json.NewEncoder(w).Encode(Stats{e.served, e.tokens, e.orders, e.cache.hits, e.cache.lookups})
 }
 
 // Load returns the engine's part of an announcement.
@@ -322,7 +322,7 @@
 	sort.Strings(a.Models)
 }
 
-// CacheChanges returns and forgets the changes of the cache since the last call.
+// CacheChanges returns the changes of the cache since the previous call.
 func (e *Engine) CacheChanges() (added, evicted []uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -11,20 +11,20 @@
 	"github.com/gorilla/mux"
 )
 
-// Fault names something a stand-in can do wrong.
+// Fault is a kind of fault that a stand-in can inject.
 type Fault string
 
 // Faults.
 const (
-	FaultRefuse Fault = "refuse" // states that it did not start
-	FaultStall  Fault = "stall"  // takes the request and sends nothing
-	FaultDie    Fault = "die"    // breaks off in the middle of the answer
-	FaultLate   Fault = "late"   // sends late
-	FaultTwice  Fault = "twice"  // sends the end of the answer twice
-	FaultLost   Fault = "lost"   // executes and breaks the connection without an answer
+	FaultRefuse Fault = "refuse" // answers that the request was not run
+	FaultStall  Fault = "stall"  // accepts the request and sends nothing
+	FaultDie    Fault = "die"    // closes the connection in the middle of the answer
+	FaultLate   Fault = "late"   // delays events of a stream by 200 ms
+	FaultTwice  Fault = "twice"  // repeats the last two events of a stream
+	FaultLost   Fault = "lost"   // executes the request and closes the connection without an answer
 )
 
-// Faults decides by seed how often each fault happens. The nil Faults never hits.
+// Faults draws faults from a seed, with a probability for each kind. A nil *Faults draws none.
 type Faults struct {
 	mu    sync.Mutex
 	rnd   *rand.Rand
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func (f *Faults) hit(name Fault) bool {
+func (f *Faults) draw(name Fault) bool {
 	if f == nil {
 		return false
 	}
@@ -66,7 +66,7 @@
 	return p > 0 && f.rnd.Float64() < p
 }
 
-// mount lets tests change the faults while the stand-in runs.
+// mount adds the route by which tests change the faults at run time.
 func (f *Faults) mount(r *mux.Router) {
 	if f == nil {
 		return
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -1,7 +1,6 @@
-// Package standin is a small stand-in for the systems behind the gateway, for
-// development and tests only: a model engine with continuous batching and a
-// prefix cache, and a plain service that counts executions. Answers are a
-// function of the prompt, so that a resumed answer can be checked byte for byte.
+// Package standin simulates backend servers, for development and tests only: a model engine with
+// continuous batching and a prefix cache, and a plain service that counts executions. Answers
+// are a function of the prompt, so that a resumed answer can be checked byte for byte.
 package standin
 
 import (
@@ -20,7 +19,7 @@
 memorial petition ledger index shelf mark microfilm reading room visitor request
 please allow two working days for retrieval from the stacks thank you kindly`)
 
-// Tokens returns the answer to a prompt: n tokens that depend on it alone.
+// Tokens returns the answer to a prompt: n tokens that depend only on the model and the prompt.
 func Tokens(model, prompt string, n int) []string {
 	seed := xxhash.Sum64String(model + "\x00" + prompt)
 	out := make([]string, n)
@@ -49,8 +48,8 @@
 	FinishReason *string           `json:"finish_reason"`
 }
 
-// StreamEvents returns the events of the whole answer as a stream, the last
-// being "[DONE]". The event before it states why the answer ended.
+// StreamEvents returns the events of the complete answer as a stream. The last event is
+// "[DONE]", and the one before it states the finish reason.
 func StreamEvents(model, prompt string, n int) []string {
 	id := AnswerID(model, prompt)
 	stop := "length"
@@ -67,7 +66,7 @@
 	return "data: " + string(data) + "\n\n"
 }
 
-// Whole returns the whole answer as one JSON document.
+// Whole returns the complete answer as one JSON document.
 func Whole(model, prompt string, n, promptTokens int) []byte {
 	text := strings.Join(Tokens(model, prompt, n), "")
 	data, _ := json.Marshal(map[string]any{
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -16,14 +16,14 @@
 // ServiceOptions configures a Service.
 type ServiceOptions struct {
 	ID     string
-	Names  []string // services it offers
+	Names  []string // services that it provides
 	Slots  int
-	Work   time.Duration // time of one call
+	Work   time.Duration // processing time of one call
 	Faults *Faults
 }
 
-// Service is a stand-in plain service. Each POST is an execution that must not
-// be repeated; it counts them by the work's reference.
+// Service simulates a plain service. Each request other than GET and HEAD is an execution that
+// must not be repeated. Service counts the executions by the reference of the work.
 type Service struct {
 	o       ServiceOptions
 	mu      sync.Mutex
@@ -44,9 +44,9 @@
 	r.PathPrefix("/").HandlerFunc(s.serve)
 }
 
-// Work is what a caller asks a service to do.
+// Work is the body of a request to a service.
 type Work struct {
-	// Reference identifies the work; it is counted by it.
+	// Reference identifies the work. Executions are counted per reference.
 	Reference string `json:"reference"`
 }
 
@@ -56,8 +56,8 @@
 	Method    string `json:"method"`
 	Path      string `json:"path"`
 	Reference string `json:"reference"`
-	Execution int    `json:"execution"` // how often this reference was executed here
-	Number    int    `json:"number"`    // of this execution among all here
+	Execution int    `json:"execution"` // number of executions of this reference on this server, including this one
+	Number    int    `json:"number"`    // sequence number of this execution on this server
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
@@ -65,29 +65,29 @@
 	if err != nil {
 		return
 	}
-	if s.o.Faults.hit(FaultRefuse) {
+	if s.o.Faults.draw(FaultRefuse) {
 		w.Header().Set(enginehttp.HeaderOutcome, "not_run")
 		http.Error(w, `{"error":"not started"}`, http.StatusServiceUnavailable)
 		return
 	}
-	s.busy(1)
-	defer s.busy(-1)
+	s.addRunning(1)
+	defer s.addRunning(-1)
 	var work Work
 	_ = json.Unmarshal(body, &work)
 	receipt := s.execute(r, work)
-	if s.o.Faults.hit(FaultStall) {
+	if s.o.Faults.draw(FaultStall) {
 		<-r.Context().Done()
 		return
 	}
 	time.Sleep(s.o.Work)
-	if s.o.Faults.hit(FaultLost) {
+	if s.o.Faults.draw(FaultLost) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(receipt)
 }
 
-func (s *Service) busy(change int) {
+func (s *Service) addRunning(change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += change
--- a/test/architecture/architecture_test.go
+++ b/test/architecture/architecture_test.go
@@ -1,5 +1,5 @@
-// Package architecture_test checks the layers: imports point inward only, and
-// the decisions in internal/core are pure.
+// Package architecture_test checks the layers: imports point inward only, and internal/core has no
+// input, output, locks, goroutines or clock.
 package architecture_test
 
 import (
@@ -16,12 +16,12 @@
 
 const module = "github.com/sesamefork/sesamefork/"
 
-// forbiddenInCore are the packages that bring sockets, files, processes, locks
-// or goroutines.
+// forbiddenInCore are the packages that give access to sockets, files, processes, locks or
+// goroutines.
 var forbiddenInCore = []string{"net", "os", "io", "io/fs", "syscall", "sync", "sync/atomic", "context", "os/exec", "runtime"}
 
-// allowedBeside are the module's packages that core may import.
-var allowedBeside = []string{"internal/core", "internal/failure", "internal/gen"}
+// allowedModulePaths are the path prefixes of the module's packages on which core may depend.
+var allowedModulePaths = []string{"internal/core", "internal/failure", "internal/gen"}
 
 type pkg struct {
 	ImportPath string
@@ -31,7 +31,7 @@
 	Deps       []string
 }
 
-func list(t *testing.T, pattern string) []pkg {
+func listPackages(t *testing.T, pattern string) []pkg {
 	t.Helper()
 	cmd := exec.Command("go", "list", "-deps", "-json=ImportPath,Dir,GoFiles,Imports,Deps", pattern)
 	cmd.Dir = "../.."
@@ -57,10 +57,10 @@
 
 func TestCoreImportsNoOutside(t *testing.T) {
 	checked := 0
-	for _, p := range list(t, "./internal/core/...") {
+	for _, p := range listPackages(t, "./internal/core/...") {
 		if !inCore(p.ImportPath) {
 			ok := false
-			for _, a := range allowedBeside {
+			for _, a := range allowedModulePaths {
 				ok = ok || strings.HasPrefix(p.ImportPath, module+a)
 			}
 			if !ok {
@@ -78,19 +78,19 @@
 		}
 		for _, d := range p.Deps {
 			if d == "net" || d == "net/http" || d == "os/exec" {
-				t.Errorf("%s reaches %s", p.ImportPath, d)
+				t.Errorf("%s depends on %s", p.ImportPath, d)
 			}
 		}
 	}
 	if checked < 8 {
-		t.Errorf("only %d core packages were checked", checked)
+		t.Errorf("only %d core packages were checked, want at least 8", checked)
 	}
 }
 
-// TestCoreReadsNoClockAndStartsNoGoroutine reads the source of the core.
+// TestCoreReadsNoClockAndStartsNoGoroutine checks the source code of internal/core.
 func TestCoreReadsNoClockAndStartsNoGoroutine(t *testing.T) {
 	clock := map[string]bool{"Now": true, "Sleep": true, "After": true, "Tick": true, "NewTimer": true, "NewTicker": true, "AfterFunc": true, "Since": true, "Until": true}
-	for _, p := range list(t, "./internal/core/...") {
+	for _, p := range listPackages(t, "./internal/core/...") {
 		if !inCore(p.ImportPath) {
 			continue
 		}
@@ -115,16 +115,16 @@
 	}
 }
 
-// TestLayersPointInward checks that no inner layer imports an outer one. Use cases reach
-// links, metrics and spans by the interfaces of internal/port; docs/design/layers.md says
-// why.
+// TestLayersPointInward checks that no inner layer imports an outer one. Use cases access links,
+// metrics and spans through the interfaces of internal/port; docs/design/layers.md gives the
+// reasons.
 func TestLayersPointInward(t *testing.T) {
 	outer := map[string][]string{
 		"internal/core/": {"internal/adapter/", "internal/app/", "internal/port"},
 		"internal/port":  {"internal/adapter/", "internal/app/", "internal/core/"},
 		"internal/app/":  {"internal/adapter/"},
 	}
-	for _, p := range list(t, "./cmd/...") {
+	for _, p := range listPackages(t, "./cmd/...") {
 		rel := strings.TrimPrefix(p.ImportPath, module)
 		for inner, forbidden := range outer {
 			if !strings.HasPrefix(rel, inner) {
@@ -141,15 +141,15 @@
 	}
 }
 
-// platformNames are names of the users' platform. Only the adapter knows them.
+// platformNames are names of the users' platform. Only the platform package may contain them.
 var platformNames = []string{
 	"X-Request-Id", "X-Deadline-Ms", "X-Server-Stamp", "X-Prompt-Prefix", "X-Token-Count", "X-Expect-Instance",
 	"X-Not-Run", "X-Cold-Ms", "Kv-From", "/v1/instances", "/v1/resolve", "/v1/readyz", "heartbeat_addr",
 }
 
-// TestPlatformNamesStayInTheAdapter reads the source of everything else.
+// TestPlatformNamesStayInTheAdapter checks the source code of all other packages.
 func TestPlatformNamesStayInTheAdapter(t *testing.T) {
-	for _, p := range list(t, "./...") {
+	for _, p := range listPackages(t, "./...") {
 		rel := strings.TrimPrefix(p.ImportPath, module)
 		if rel == "platform" {
 			continue
@@ -161,20 +161,20 @@
 			}
 			for _, n := range platformNames {
 				if strings.Contains(string(data), n) {
-					t.Errorf("%s/%s holds %q", rel, name, n)
+					t.Errorf("%s/%s contains %q", rel, name, n)
 				}
 			}
 		}
 	}
 }
 
-// TestPlatformIsOutermost checks that only the programs import the adapter.
+// TestPlatformIsOutermost checks that only the programs in cmd import the platform package.
 func TestPlatformIsOutermost(t *testing.T) {
-	for _, p := range list(t, "./...") {
+	for _, p := range listPackages(t, "./...") {
 		rel := strings.TrimPrefix(p.ImportPath, module)
 		for _, i := range p.Imports {
 			if i == module+"platform" && !strings.HasPrefix(rel, "cmd/") {
-				t.Errorf("%s imports the platform's adapter", rel)
+				t.Errorf("%s imports the platform package", rel)
 			}
 		}
 	}
--- a/test/policy/policy_test.go
+++ b/test/policy/policy_test.go
@@ -19,7 +19,7 @@
 	return &p
 }
 
-// policies are ours, by preset, and the baselines.
+// policies are the placement core with each preset and with other settings, and the baselines.
 var policies = []policy{
 	{name: "archive preset", settings: preset("archive", nil)},
 	{name: "railhalt preset", settings: preset("railhalt", nil)},
@@ -42,7 +42,7 @@
 	{name: "least outstanding, local", pick: leastOutstanding},
 }
 
-// reachable returns the servers known to be up, of the region only or of all.
+// reachable returns the running servers that a region reaches, or with local, only the region's own.
 func reachable(s *sim, region int, local bool) []*simServer {
 	var out []*simServer
 	for _, srv := range s.servers {
@@ -54,17 +54,18 @@
 	return out
 }
 
-// leastOutstanding compares the lagged reports, corrected by nothing.
+// leastOutstanding picks the local server with the lowest load by its lagged report, without
+// corrections.
 func leastOutstanding(s *sim, h *simHost, _ *simRequest) *simServer {
 	var best *simServer
 	load := math.Inf(1)
 	up := reachable(s, h.region, true)
 	for i := range up {
 		srv := up[(i+h.next)%len(up)]
-		x := float64(h.own[srv.id])
+		x := float64(h.ownAttempts[srv.id])
 		for _, l := range srv.past {
 			if l.at <= s.now-s.scene.lag {
-				x = math.Max(float64(l.running+l.queued), float64(h.own[srv.id]))
+				x = math.Max(float64(l.running+l.queued), float64(h.ownAttempts[srv.id]))
 			}
 		}
 		if x < load {
@@ -75,23 +76,24 @@
 	return best
 }
 
-// peak is a day squeezed into the scene, with the regions' peaks offset.
-func peak(seconds, low, high float64, regions int) func(int, float64) float64 {
+// dailyCycle returns a load that passes through one daily cycle in the given seconds, with the
+// regions' peaks offset.
+func dailyCycle(seconds, low, high float64, regions int) func(int, float64) float64 {
 	return func(region int, t float64) float64 {
 		phase := 2*math.Pi*t/seconds - 2*math.Pi*float64(region)/float64(regions)
 		return low + (high-low)*(0.5+0.5*math.Cos(phase))
 	}
 }
 
-func flat(x float64) func(int, float64) float64 {
+func constantLoad(x float64) func(int, float64) float64 {
 	return func(int, float64) float64 { return x }
 }
 
 func railhalt(name string) scene {
-	return scene{name: name, servers: []int{4, 4, 4}, slots: 8, decodeMS: 20, seconds: 600, load: peak(600, 0.35, 1.25, 3), lag: 0.5, teams: 4}
+	return scene{name: name, servers: []int{4, 4, 4}, slots: 8, decodeMS: 20, seconds: 600, load: dailyCycle(600, 0.35, 1.25, 3), lag: 0.5, teams: 4}
 }
 
-func down(region, from, to int, up bool) func(*sim) {
+func setServersUp(region, from, to int, up bool) func(*sim) {
 	return func(s *sim) {
 		for i, srv := range serversOf(s, region) {
 			if i >= from && i < to {
@@ -118,18 +120,18 @@
 }
 
 func scenes() []scene {
-	archive := scene{name: "archive: offset peaks", servers: []int{3, 3, 3}, slots: 8, decodeMS: 30, seconds: 600, load: peak(600, 0.3, 1.15, 3), lag: 0.5, teams: 3}
+	archive := scene{name: "archive: offset peaks", servers: []int{3, 3, 3}, slots: 8, decodeMS: 30, seconds: 600, load: dailyCycle(600, 0.3, 1.15, 3), lag: 0.5, teams: 3}
 	hot := railhalt("hot prefix")
-	hot.hot, hot.load = 0.6, flat(0.8)
+	hot.hot, hot.load = 0.6, constantLoad(0.8)
 	half := railhalt("half of a region's servers lost")
-	half.load = flat(0.7)
-	half.events = []happening{{200, down(0, 0, 2, false)}, {400, down(0, 0, 2, true)}}
+	half.load = constantLoad(0.7)
+	half.events = []intervention{{200, setServersUp(0, 0, 2, false)}, {400, setServersUp(0, 0, 2, true)}}
 	cut := railhalt("a region cut off, back with cold caches")
-	cut.load = flat(0.75)
-	cut.events = []happening{
+	cut.load = constantLoad(0.75)
+	cut.events = []intervention{
 		{200, func(s *sim) { s.cut[0] = true }},
 		{260, func(s *sim) { s.cut[0] = false }},
-		{260, down(0, 0, 4, true)},
+		{260, setServersUp(0, 0, 4, true)},
 	}
 	lag2, lag5 := railhalt("railhalt: reports lag 2 s"), railhalt("railhalt: reports lag 5 s")
 	lag2.lag, lag5.lag = 2, 5
@@ -145,14 +147,14 @@
 	outcome
 }
 
-// TestPolicyReport prints the comparison; with SESAME_REPORT it is written to
-// that file as JSON too. It judges nothing but that every request got an end.
+// TestPolicyReport logs the comparison. With SESAME_REPORT, it also writes it to that file as JSON.
+// It only checks that every request was answered or refused.
 func TestPolicyReport(t *testing.T) {
 	var rows []row
 	full := os.Getenv("SESAME_REPORT") != ""
 	for _, sc := range scenes() {
 		if !full {
-			sc.seconds = 60 // enough to check the bench itself
+			sc.seconds = 60 // enough to check the simulation itself
 		}
 		t.Logf("%s", sc.name)
 		t.Logf("  %-26s %8s %6s %6s %6s %6s %8s %8s %8s %8s %6s", "policy", "answered", "refus", "late", "away", "hits", "cost", "ttft50", "ttft95", "ttft99", "jain")
@@ -173,13 +175,13 @@
 	}
 }
 
-// TestNoCongestionCollapse offers 2, 5 and 10 times the capacity, most of it by
-// one team: goodput stays near its peak, and the other teams are served alike.
+// TestNoCongestionCollapse offers a load of 2, 5 and 10 times the capacity, most of it by one team.
+// Goodput must stay at 90 % of its peak, and the other teams must be served equally.
 func TestNoCongestionCollapse(t *testing.T) {
 	at := func(x float64) outcome {
-		sc := scene{name: fmt.Sprint(x), servers: []int{4}, slots: 8, decodeMS: 20, seconds: 200, load: flat(x), lag: 0.5, teams: 5}
+		sc := scene{name: fmt.Sprint(x), servers: []int{4}, slots: 8, decodeMS: 20, seconds: 200, load: constantLoad(x), lag: 0.5, teams: 5}
 		if x > 1 {
-			sc.noisy = 1 - 0.8/x // the other teams ask for 0.8 of the capacity together
+			sc.noisy = 1 - 0.8/x // the other teams together offer 0.8 of the capacity
 		}
 		return run(sc, policy{name: "balanced", settings: preset("balanced", nil)}, 1)
 	}
@@ -191,7 +193,7 @@
 			t.Errorf("load %.0fx: goodput %.2f/s is under 90%% of the peak %.2f/s", x, o.Goodput, peak)
 		}
 		if o.Fairness < 0.95 {
-			t.Errorf("load %.0fx: Jain's index of the teams within their share is %.3f", x, o.Fairness)
+			t.Errorf("load %.0fx: Jain's fairness index of the teams within their share is %.3f, want 0.95", x, o.Fairness)
 		}
 	}
 }
--- a/test/policy/sim_test.go
+++ b/test/policy/sim_test.go
@@ -1,6 +1,6 @@
-// Package policy_test compares the placement policy with baselines in virtual
-// time: a loop that feeds the real placement core with arrivals and lagged
-// reports. It is a benchmark's bench, not a simulator of the cluster.
+// Package policy_test compares the placement policy with baselines in a discrete-event simulation,
+// which calls the real placement core with arrivals and lagged reports. It simulates only what
+// the comparison needs, and not the whole cluster.
 package policy_test
 
 import (
@@ -19,9 +19,9 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// Times of the control traffic, as in the default settings.
+// Intervals of the control traffic as in the default settings, delays and deadlines, in s.
 const (
-	reportEvery  = 1.0 // s
+	reportEvery  = 1.0
 	summaryEvery = 2.0
 	loadsEvery   = 0.5
 	networkDelay = 0.080 // one way between regions
@@ -29,28 +29,28 @@
 	ttftDeadline = 10.0
 )
 
-// scene is one situation.
+// scene is one simulated scenario.
 type scene struct {
 	name     string
-	servers  []int // of each region
+	servers  []int // number of servers in each region
 	slots    int
 	decodeMS float64
 	seconds  float64
-	load     func(region int, t float64) float64 // arrivals, as a share of that region's own capacity
+	load     func(region int, t float64) float64 // arrival rate, as a fraction of the region's capacity
 	lag      float64
-	hot      float64 // share of requests on one document
+	hot      float64 // fraction of requests about one document
 	teams    int
-	noisy    float64 // share of requests of team 0
-	events   []happening
+	noisy    float64 // additional fraction of requests sent by team 0
+	events   []intervention
 }
 
-// happening changes the world at a time.
-type happening struct {
+// intervention changes the simulation at a time.
+type intervention struct {
 	at float64
 	do func(*sim)
 }
 
-// policy places requests.
+// policy is a way of placing requests: the placement core with settings, or a baseline.
 type policy struct {
 	name     string
 	settings *configstate.Policy // nil for a baseline without the placement core
@@ -64,7 +64,7 @@
 	prefill float64
 	running int
 	queue   []*simRequest
-	held    map[uint64]int // last use of a cached prefix
+	held    map[uint64]int // cached prefixes, with the counter value of their last use
 	use     int
 	up      bool
 	seq     uint64
@@ -78,12 +78,12 @@
 }
 
 type simHost struct {
-	id     string
-	region int
-	state  *placement.State
-	next   int // of round robin
-	own    map[string]int
-	wait   map[*admission.Waiter]*simRequest
+	id          string
+	region      int
+	state       *placement.State
+	next        int // position of round robin
+	ownAttempts map[string]int
+	waiting     map[*admission.Waiter]*simRequest
 }
 
 type simRequest struct {
@@ -93,10 +93,10 @@
 	output       float64
 	prefixes     []uint64
 	job          *placement.Job
-	host         *simHost // where it entered
-	at           *simHost // where it is now
+	host         *simHost // entry host that received the request
+	holder       *simHost // entry host that holds the request
 	place        *placement.Place
-	forward      *placement.Place // at the host where it entered
+	forward      *placement.Place // held at host while the request is forwarded
 	server       *simServer
 	away         bool
 	done         bool
@@ -123,14 +123,14 @@
 type sim struct {
 	scene   scene
 	policy  policy
-	rnd     *rand.Rand // of the decisions
-	traffic *rand.Rand // of the arrivals: the same for every policy
+	rnd     *rand.Rand // for placement decisions
+	traffic *rand.Rand // for arrivals, so that they are the same for every policy
 	now     float64
 	events  events
 	seq     int
 	servers []*simServer
 	hosts   []*simHost
-	cut     map[int]bool // regions cut off
+	cut     map[int]bool // regions that are cut off
 	result  outcome
 	ttft    []float64
 	total   []float64
@@ -138,7 +138,7 @@
 	offered map[int]float64
 }
 
-// outcome is what a run measured.
+// outcome holds the measurements of a run.
 type outcome struct {
 	Requests int     `json:"requests"`
 	Answered int     `json:"answered"`
@@ -146,13 +146,13 @@
 	Late     int     `json:"late"` // first token after the deadline
 	Away     float64 `json:"away_share"`
 	Hits     float64 `json:"cache_hits"`
-	Cost     float64 `json:"cost_per_1000"` // slot-seconds, plus one for each request sent away
+	Cost     float64 `json:"cost_per_1000"` // slot-seconds, plus one per request served in another region
 	TTFT50   float64 `json:"ttft_p50_s"`
 	TTFT95   float64 `json:"ttft_p95_s"`
 	TTFT99   float64 `json:"ttft_p99_s"`
 	Total50  float64 `json:"total_p50_s"`
 	Total99  float64 `json:"total_p99_s"`
-	Fairness float64 `json:"jain"`    // over teams within their share
+	Fairness float64 `json:"jain"`    // Jain's index, over teams within their share
 	Goodput  float64 `json:"goodput"` // answered in time, per second
 	away     int
 	busy     float64
@@ -191,7 +191,7 @@
 			})
 		}
 		for i := range hostsPerSite {
-			h := &simHost{id: fmt.Sprintf("r%d-h%d", r, i), region: r, own: map[string]int{}, wait: map[*admission.Waiter]*simRequest{}}
+			h := &simHost{id: fmt.Sprintf("r%d-h%d", r, i), region: r, ownAttempts: map[string]int{}, waiting: map[*admission.Waiter]*simRequest{}}
 			h.state = placement.New(placement.Options{
 				Region: regionName(r), FailureDomain: regionName(r), MaxWaiting: 20_000, Random: s.rnd.Float64,
 				Limits: backend.Limits{Lease: 3 * time.Second, SlowStart: 10 * time.Second, Lag: 500 * time.Millisecond},
@@ -202,14 +202,14 @@
 		}
 		s.after(0, func() { s.arrive(r) })
 	}
-	s.after(0, s.report)
-	s.after(0.1, s.summaries)
-	s.after(0.05, s.loads)
+	s.after(0, s.announceServers)
+	s.after(0.1, s.sendSummaries)
+	s.after(0.05, s.exchangeLoads)
 }
 
 func regionName(r int) string { return fmt.Sprintf("r%d", r) }
 
-// capacity is the requests per second that the region's servers can answer.
+// capacity returns the requests per second that the region's servers can answer.
 func (s *sim) capacity(region int) float64 {
 	seconds := 1200.0/6000 + 150*s.scene.decodeMS/1000
 	return float64(s.scene.servers[region]*s.scene.slots) / seconds
@@ -237,7 +237,7 @@
 		r.prefixes = append(r.prefixes, uint64(doc)*1000+uint64(b))
 	}
 	r.host = s.hosts[region*hostsPerSite+s.traffic.Intn(hostsPerSite)]
-	r.at = r.host
+	r.holder = r.host
 	s.result.Requests++
 	s.offered[r.team]++
 	s.place(r)
@@ -247,7 +247,7 @@
 	return epoch.Add(time.Duration((r.arrived + ttftDeadline) * float64(time.Second)))
 }
 
-// place finds a place for the request at the host where it is.
+// place finds a place for the request on the host that holds it.
 func (s *sim) place(r *simRequest) {
 	r.tries++
 	if s.policy.pick != nil {
@@ -257,7 +257,7 @@
 			if r.away {
 				delay = networkDelay
 			}
-			r.host.own[srv.id]++
+			r.host.ownAttempts[srv.id]++
 			s.after(delay, func() { s.enqueue(srv, r) })
 			return
 		}
@@ -273,25 +273,25 @@
 			r.job.Permitted = append(r.job.Permitted, regionName(i))
 		}
 	}
-	p, w, _, err := r.at.state.Acquire(r.job, s.clock())
+	p, w, _, err := r.holder.state.Acquire(r.job, s.clock())
 	switch {
 	case err != nil:
 		s.sendBack(r)
 	case w != nil:
-		r.at.wait[w] = r
+		r.holder.waiting[w] = r
 	default:
 		s.start(r, p)
 	}
 }
 
-// sendBack refuses a request, or returns a forwarded one to where it entered.
+// sendBack refuses a request, or returns a forwarded one to the host that received it.
 func (s *sim) sendBack(r *simRequest) {
-	if r.at == r.host || r.tries > 4 {
+	if r.holder == r.host || r.tries > 4 {
 		s.refuse(r)
 		return
 	}
-	domain := regionName(r.at.region)
-	r.at = r.host
+	domain := regionName(r.holder.region)
+	r.holder = r.host
 	r.job.Forwarded = false
 	r.job.Avoid[domain] = true
 	if r.forward != nil {
@@ -320,12 +320,12 @@
 	}
 	target := s.host(p.ServerID)
 	if s.cut[r.region] || s.cut[target.region] {
-		r.at.state.Release(p, false, s.clock())
+		r.holder.state.Release(p, false, s.clock())
 		s.after(0.2, func() { s.place(r) })
 		return
 	}
 	r.forward, r.away = p, true
-	r.at, r.job.Forwarded = target, true
+	r.holder, r.job.Forwarded = target, true
 	s.after(networkDelay, func() { s.place(r) })
 }
 
@@ -338,7 +338,7 @@
 	return nil
 }
 
-// enqueue hands the request to a server.
+// enqueue adds the request to a server's queue.
 func (s *sim) enqueue(srv *simServer, r *simRequest) {
 	r.server = srv
 	if !srv.up {
@@ -346,10 +346,10 @@
 		return
 	}
 	srv.queue = append(srv.queue, r)
-	s.pump(srv)
+	s.startQueued(srv)
 }
 
-// lost lets a request whose server is gone be placed again.
+// lost places a request again whose server has ended.
 func (s *sim) lost(r *simRequest) {
 	s.release(r, false)
 	if r.job != nil {
@@ -364,18 +364,18 @@
 		r.forward = nil
 	}
 	if r.place != nil {
-		r.at.state.Release(r.place, connected, s.clock())
+		r.holder.state.Release(r.place, connected, s.clock())
 		r.place = nil
-		s.grant(r.at)
+		s.grant(r.holder)
 	} else {
-		r.host.own[r.server.id]--
+		r.host.ownAttempts[r.server.id]--
 	}
 }
 
 func (s *sim) grant(h *simHost) {
 	for _, g := range h.state.Grants(s.clock()) {
-		r := h.wait[g.Waiter]
-		delete(h.wait, g.Waiter)
+		r := h.waiting[g.Waiter]
+		delete(h.waiting, g.Waiter)
 		if g.Err != nil {
 			s.sendBack(r)
 			continue
@@ -384,12 +384,12 @@
 	}
 }
 
-func (s *sim) pump(srv *simServer) {
+func (s *sim) startQueued(srv *simServer) {
 	for srv.running < srv.slots && len(srv.queue) > 0 {
 		r := srv.queue[0]
 		srv.queue = srv.queue[1:]
 		srv.running++
-		covered := srv.cached(r.prefixes)
+		covered := srv.usePrefixes(r.prefixes)
 		s.result.blocks += float64(len(r.prefixes))
 		s.result.hits += float64(covered)
 		tokens := r.tokens
@@ -405,10 +405,10 @@
 	}
 }
 
-// cacheBlocks is the capacity of a server's prefix cache.
+// cacheBlocks is the capacity of a server's prefix cache, in blocks.
 const cacheBlocks = 240
 
-func (srv *simServer) cached(prefixes []uint64) int {
+func (srv *simServer) usePrefixes(prefixes []uint64) int {
 	n := 0
 	for n < len(prefixes) && srv.held[prefixes[n]] > 0 {
 		n++
@@ -436,7 +436,7 @@
 	}
 	srv.running--
 	s.release(r, true)
-	s.pump(srv)
+	s.startQueued(srv)
 	back := 0.0
 	if r.away {
 		s.result.away++
@@ -453,9 +453,9 @@
 	s.served[r.team]++
 }
 
-// report announces every server to the hosts of its region, with the load of
-// a while ago.
-func (s *sim) report() {
+// announceServers announces every server to the hosts of its region, with its load of scene.lag
+// seconds before.
+func (s *sim) announceServers() {
 	if s.now > s.scene.seconds+60 {
 		return
 	}
@@ -484,11 +484,11 @@
 	for _, h := range s.hosts {
 		s.grant(h)
 	}
-	s.after(reportEvery, s.report)
+	s.after(reportEvery, s.announceServers)
 }
 
-// loads tells the hosts of a region each other's attempts under way.
-func (s *sim) loads() {
+// exchangeLoads sends each host's attempts in flight to the other hosts of its region.
+func (s *sim) exchangeLoads() {
 	if s.now > s.scene.seconds+60 {
 		return
 	}
@@ -499,7 +499,7 @@
 			}
 		}
 	}
-	s.after(loadsEvery, s.loads)
+	s.after(loadsEvery, s.exchangeLoads)
 }
 
 func (srv *simServer) hottest() []uint64 {
@@ -513,14 +513,14 @@
 	return out[:min(len(out), 64)]
 }
 
-// summaries carries each region's offer to the hosts of the others.
-func (s *sim) summaries() {
+// sendSummaries sends each region's summary to the hosts of the other regions.
+func (s *sim) sendSummaries() {
 	if s.now > s.scene.seconds+60 {
 		return
 	}
 	for r := range s.scene.servers {
-		speaker := s.hosts[r*hostsPerSite]
-		sum := speaker.state.Summarise([]string{fmt.Sprintf("r%d-h0", r), fmt.Sprintf("r%d-h1", r), fmt.Sprintf("r%d-h2", r)}, s.clock())
+		sender := s.hosts[r*hostsPerSite]
+		sum := sender.state.Summarise([]string{fmt.Sprintf("r%d-h0", r), fmt.Sprintf("r%d-h1", r), fmt.Sprintf("r%d-h2", r)}, s.clock())
 		for _, h := range s.hosts {
 			if h.region != r && !s.cut[r] && !s.cut[h.region] {
 				s.after(networkDelay, func() {
@@ -530,7 +530,7 @@
 			}
 		}
 	}
-	s.after(summaryEvery, s.summaries)
+	s.after(summaryEvery, s.sendSummaries)
 }
 
 func (s *sim) finish() outcome {
@@ -556,8 +556,8 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// jain is Jain's index of the shares served, over the teams that ask for no
-// more than their share.
+// jain returns Jain's fairness index of the fractions of requests served in time, over the teams
+// that offer no more than their share.
 func (s *sim) jain() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 	for team, offered := range s.offered {
--- a/test/process/capacity_test.go
+++ b/test/process/capacity_test.go
@@ -16,7 +16,7 @@
 	"github.com/sesamefork/sesamefork/internal/load"
 )
 
-// usage is what a process used.
+// usage holds the resources that a process has used.
 type usage struct {
 	cpu      time.Duration
 	sent     float64
@@ -24,7 +24,7 @@
 	rss      float64
 }
 
-const clockTicks = 100 // per second, of /proc/<pid>/stat
+const clockTicks = 100 // per second, the unit of times in /proc/<pid>/stat
 
 func (f *fleet) usage(name, vars string) usage {
 	pid := f.proc(name).Process.Pid
@@ -51,13 +51,13 @@
 	return u
 }
 
-// measured is how long a node is watched.
-const measured = 20 * time.Second
+// measureDuration is the duration of a measurement.
+const measureDuration = 20 * time.Second
 
-// BenchmarkIdleNode measures what control costs real processes without any
-// request: by entry hosts and backend servers of the failure domain, and by
-// other failure domains. The last case is a failure domain of the target size
-// among 26, with 2,000 teams. Bytes are those handed to TCP.
+// BenchmarkIdleNode measures the resources that real processes use for control traffic while there
+// are no requests, by the number of entry hosts and backend servers of the failure domain and by
+// the number of failure domains. The last case is a failure domain of the target size among 26,
+// with 2,000 teams. Bytes are those written to and read from TCP connections.
 func BenchmarkIdleNode(b *testing.B) {
 	for i, c := range []struct{ hosts, engines, domains, teams int }{
 		{3, 7, 3, 2}, {8, 7, 3, 2}, {14, 7, 3, 2}, {8, 31, 3, 2}, {8, 7, 13, 2}, {14, 31, 26, 2000},
@@ -71,7 +71,7 @@
 }
 
 func capacityShape(net, hosts, engines, domains, teams int) shape {
-	s := shape{net: net, slowControl: true, hostsIn: func(d int) int {
+	s := shape{net: net, defaultIntervals: true, hostsIn: func(d int) int {
 		if d == 0 {
 			return hosts
 		}
@@ -117,10 +117,10 @@
 	for _, n := range nodes {
 		before[n.name] = f.usage(n.name, n.vars)
 	}
-	time.Sleep(measured)
+	time.Sleep(measureDuration)
 	for _, n := range nodes {
 		a, z := before[n.name], f.usage(n.name, n.vars)
-		s := measured.Seconds()
+		s := measureDuration.Seconds()
 		b.ReportMetric((z.sent-a.sent)/s, n.role+"-sent-B/s")
 		b.ReportMetric((z.received-a.received)/s, n.role+"-recv-B/s")
 		b.ReportMetric(100*(z.cpu-a.cpu).Seconds()/s, n.role+"-cpu-%")
@@ -132,8 +132,8 @@
 // loadRequests is the number of requests of one load.
 const loadRequests = 2000
 
-// BenchmarkLoad measures requests through real processes: processor time of the
-// entry hosts for each request, by the kind of request.
+// BenchmarkLoad measures the CPU time that the entry hosts use per request and the latencies, by
+// the kind of request.
 func BenchmarkLoad(b *testing.B) {
 	for i, c := range []struct {
 		name      string
@@ -144,7 +144,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
 				s := oneRegion(110 + i)
-				s.slowControl, s.engines = true, 3
+				s.defaultIntervals, s.engines = true, 3
 				f := newFleet(b, s)
 				time.Sleep(6 * time.Second)
 				var before time.Duration
@@ -170,19 +170,18 @@
 	}
 }
 
-// BenchmarkChange measures how long a change takes until it is accepted, and
-// from then until it is in force on all nine entry hosts, with the default
-// intervals.
+// BenchmarkChange measures the time until a change is accepted, and from then until it is in force
+// on all nine entry hosts, with the default intervals.
 func BenchmarkChange(b *testing.B) {
 	const changes = 40
 	for b.Loop() {
 		s := threeRegions(120)
-		s.slowControl = true
+		s.defaultIntervals = true
 		f := newFleet(b, s)
 		accept, inForce := metrics.NewHistogram(), metrics.NewHistogram()
 		for v := uint64(1); v <= changes; v++ {
 			began := time.Now()
-			f.apply(v, fmt.Sprint("change ", v), f.noted(fmt.Sprint(v)))
+			f.apply(v, fmt.Sprint("change ", v), f.recordWithNote(fmt.Sprint(v)))
 			accepted := time.Now()
 			accept.Observe(accepted.Sub(began))
 			f.awaitVersion(v+1, f.hosts)
@@ -197,12 +196,12 @@
 	}
 }
 
-// BenchmarkLeaving measures the time from a backend server's announcement that
-// it leaves until no entry host of its failure domain gives it work.
+// BenchmarkLeaving measures the time from SIGTERM to a backend server, after which it announces
+// that it leaves, until all entry hosts of its failure domain skip it.
 func BenchmarkLeaving(b *testing.B) {
 	for b.Loop() {
 		s := oneRegion(121)
-		s.slowControl, s.engines = true, 5
+		s.defaultIntervals, s.engines = true, 5
 		f := newFleet(b, s)
 		h := metrics.NewHistogram()
 		for k := 1; k <= 4; k++ {
@@ -210,7 +209,7 @@
 			began := time.Now()
 			f.signal(name, syscall.SIGTERM)
 			for _, host := range f.hosts[:3] {
-				f.await(name+" passed over on "+host.id, func() bool {
+				f.await(name+" skipped on "+host.id, func() bool {
 					servers, _ := f.vars(host)["backend_servers"].(map[string]any)
 					server, _ := servers[name].(map[string]any)
 					return server["skip"] == "leaving"
@@ -223,9 +222,9 @@
 	}
 }
 
-// BenchmarkRestart kills and restarts all control hosts after so many changes,
-// with snapshots and without, and measures the time until a linearizable read is
-// answered. An election of 10 to 20 ticks of 30 ms is in it.
+// BenchmarkRestart kills and restarts all control hosts after a number of changes, with snapshots
+// and without, and measures the time until a linearizable read is answered. It includes the
+// election timeout of 10 to 20 ticks of 30 ms.
 func BenchmarkRestart(b *testing.B) {
 	for i, c := range []struct{ changes, every int }{{1000, 256}, {1000, 1 << 19}, {10_000, 256}, {10_000, 1 << 19}} {
 		b.Run(fmt.Sprintf("changes=%d/snapshot-every=%d", c.changes, c.every), func(b *testing.B) {
@@ -234,7 +233,7 @@
 				s.snapshotEvery = c.every
 				f := newFleet(b, s)
 				for v := uint64(1); v < uint64(c.changes); v++ {
-					f.apply(v, fmt.Sprint("n", v), f.noted(fmt.Sprint(v)))
+					f.apply(v, fmt.Sprint("n", v), f.recordWithNote(fmt.Sprint(v)))
 				}
 				for _, h := range f.controls {
 					f.kill("c-" + h.id)
--- a/test/process/control_test.go
+++ b/test/process/control_test.go
@@ -20,7 +20,7 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// controlOnly is a fleet of which the tests use the control group.
+// controlOnly returns the shape of a fleet for tests that use only its control group.
 func controlOnly(net int) shape {
 	return shape{net: net, regions: [][]string{{"a"}, {"b"}, {"c"}}, engines: 1}
 }
@@ -61,8 +61,8 @@
 	return out
 }
 
-// noted returns the record with a note that tells versions apart.
-func (f *fleet) noted(note string) map[string]any {
+// recordWithNote returns the record with a note that distinguishes versions.
+func (f *fleet) recordWithNote(note string) map[string]any {
 	r := f.record()
 	r["note"] = note
 	return r
@@ -72,7 +72,7 @@
 	f.t.Helper()
 	c := f.current()
 	if c.Version != version || !strings.Contains(string(c.Record), `"note":"`+note+`"`) {
-		f.t.Errorf("version %d with %.80s, want %d with note %q", c.Version, c.Record, version, note)
+		f.t.Errorf("got version %d with %.80s, want version %d with note %q", c.Version, c.Record, version, note)
 	}
 }
 
@@ -80,9 +80,9 @@
 	t.Parallel()
 	f := newFleet(t, controlOnly(61))
 	leader := f.leader()
-	f.apply(1, "one", f.noted("one"))
+	f.apply(1, "one", f.recordWithNote("one"))
 	f.kill(leader)
-	v := f.apply(2, "two", f.noted("two"))
+	v := f.apply(2, "two", f.recordWithNote("two"))
 	f.expectNote("two", v)
 	f.restart(leader)
 	for _, c := range f.controls {
@@ -95,11 +95,11 @@
 		f.restart("c-" + c.id)
 	}
 	f.expectNote("two", 3)
-	if got, err := f.tryApply(2, "two", f.noted("two")); err != nil || got != 3 {
-		t.Errorf("the change resent after restarts: version %d, %v; want its first answer 3", got, err)
+	if got, err := f.tryApply(2, "two", f.recordWithNote("two")); err != nil || got != 3 {
+		t.Errorf("change resent after restarts: version %d, %v; want 3 as in its first answer", got, err)
 	}
-	if _, err := f.tryApply(2, "two", f.noted("other")); !failure.Is(err, failure.ChangeIDReused) {
-		t.Errorf("another change under a used change_id: %v", err)
+	if _, err := f.tryApply(2, "two", f.recordWithNote("other")); !failure.Is(err, failure.ChangeIDReused) {
+		t.Errorf("another change with a used change_id: %v", err)
 	}
 	f.awaitVersion(3, f.hosts)
 }
@@ -107,21 +107,21 @@
 func TestFrozenLeaderDoesNotAnswerStale(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, controlOnly(62))
-	old := f.leader()
+	oldLeader := f.leader()
 	var frozen string
 	others := []string{}
 	for _, c := range f.controls {
-		if url := "http://" + c.ip + ":8081"; "c-"+c.id == old {
+		if url := "http://" + c.ip + ":8081"; "c-"+c.id == oldLeader {
 			frozen = url
 		} else {
 			others = append(others, url)
 		}
 	}
-	f.signal(old, syscall.SIGSTOP)
-	f.ctl.Servers = append([]string{frozen}, others...) // the frozen one is asked first
-	v := f.apply(1, "while frozen", f.noted("new"))
-	f.signal(old, syscall.SIGCONT)
-	f.ctl.Servers = []string{frozen} // only the thawed replica is asked now
+	f.signal(oldLeader, syscall.SIGSTOP)
+	f.ctl.Servers = append([]string{frozen}, others...) // the frozen replica is called first
+	v := f.apply(1, "while frozen", f.recordWithNote("new"))
+	f.signal(oldLeader, syscall.SIGCONT)
+	f.ctl.Servers = []string{frozen} // only the resumed replica is called now
 	f.expectNote("new", v)
 }
 
@@ -138,20 +138,20 @@
 			go func() {
 				defer wg.Done()
 				id := fmt.Sprintf("r%d-%d", round, op)
-				v, err := f.tryApply(base, id, f.noted(id))
+				v, err := f.tryApply(base, id, f.recordWithNote(id))
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err == nil:
 					wins = append(wins, v)
 				case !failure.Is(err, failure.VersionConflict) || failure.As(err, "").Version != base+1:
-					t.Errorf("loser got %v with version %d, want a conflict with %d", err, failure.As(err, "").Version, base+1)
+					t.Errorf("rejected change got %v with version %d, want a conflict with version %d", err, failure.As(err, "").Version, base+1)
 				}
 			}()
 		}
 		wg.Wait()
 		if len(wins) != 1 || wins[0] != base+1 {
-			t.Fatalf("round %d on version %d: accepted %v", round, base, wins)
+			t.Fatalf("round %d on version %d: accepted versions %v, want exactly one", round, base, wins)
 		}
 		base++
 	}
@@ -160,7 +160,7 @@
 func TestLostDataFolderIsReplaced(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, controlOnly(64))
-	f.apply(1, "one", f.noted("one"))
+	f.apply(1, "one", f.recordWithNote("one"))
 	leader := f.leader()
 	var lost host
 	for _, c := range f.controls {
@@ -173,26 +173,26 @@
 		t.Fatal(err)
 	}
 	f.restart("c-" + lost.id)
-	old := "c-" + lost.id + ".0"
-	f.await("the loss shows", func() bool { return f.status().SurvivableLosses == 0 })
-	f.await("replaced", func() bool {
+	lostStore := "c-" + lost.id + ".0"
+	f.await("the lost replica is reported", func() bool { return f.status().SurvivableLosses == 0 })
+	f.await("the lost replica is replaced", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		defer cancel()
 		var out map[string]string
-		return f.ctl.Do(ctx, http.MethodPut, "/v1/replicas/"+old, operatorhttp.ReplicaBody{Address: lost.ip + ":7101"}, &out) == nil
+		return f.ctl.Do(ctx, http.MethodPut, "/v1/replicas/"+lostStore, operatorhttp.ReplicaBody{Address: lost.ip + ":7101"}, &out) == nil
 	})
 	st := f.status()
 	if st.SurvivableLosses != 1 || len(st.Replicas) != 3 {
-		t.Errorf("after the repair: survives %d losses with %v", st.SurvivableLosses, st.Replicas)
+		t.Errorf("after the replacement: %d survivable losses with replicas %v", st.SurvivableLosses, st.Replicas)
 	}
 	for _, r := range st.Replicas {
-		if r.Id == old {
-			t.Errorf("the lost store %s is still in the group", old)
+		if r.Id == lostStore {
+			t.Errorf("the lost store %s is still in the group", lostStore)
 		}
 	}
-	// A second host fails right after the repair.
+	// A second host fails right after the replacement.
 	f.kill(f.leader())
-	v := f.apply(2, "two", f.noted("two"))
+	v := f.apply(2, "two", f.recordWithNote("two"))
 	f.expectNote("two", v)
 	f.awaitVersion(v, f.hosts)
 }
@@ -203,7 +203,7 @@
 	const changes = 1000
 	began := time.Now()
 	for v := uint64(1); v < changes; v++ {
-		f.apply(v, fmt.Sprintf("n%d", v), f.noted(fmt.Sprint(v)))
+		f.apply(v, fmt.Sprintf("n%d", v), f.recordWithNote(fmt.Sprint(v)))
 	}
 	t.Logf("%d changes in %s", changes, time.Since(began))
 	var bytes int64
@@ -225,26 +225,26 @@
 		f.restart("c-" + c.id)
 	}
 	f.expectNote(fmt.Sprint(changes-1), changes)
-	t.Logf("answering %s after the restart of all", time.Since(began))
-	if v, err := f.tryApply(500, "n500", f.noted("500")); err != nil || v != 501 {
+	t.Logf("first answer %s after the restart of all replicas", time.Since(began))
+	if v, err := f.tryApply(500, "n500", f.recordWithNote("500")); err != nil || v != 501 {
 		t.Errorf("change 500 resent: version %d, %v; want 501", v, err)
 	}
 	f.awaitVersion(changes, f.hosts)
 }
 
-// TestCutOffRegionCatchesUp accepts changes while a region is cut off, restarts
-// one of its entry hosts there, and heals.
+// TestCutOffRegionCatchesUp accepts changes while a region is cut off, restarts one of the
+// region's entry hosts, and restores the links: the region must receive the changes.
 func TestCutOffRegionCatchesUp(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, controlOnly(66))
 	f.isolate("c", true)
-	v := f.apply(1, "one", f.noted("one"))
-	v = f.apply(v, "two", f.noted("two"))
+	v := f.apply(1, "one", f.recordWithNote("one"))
+	v = f.apply(v, "two", f.recordWithNote("two"))
 	f.awaitVersion(v, f.hosts[:6])
 	cut := f.hosts[6:]
 	f.kill(cut[0].id)
 	f.restart(cut[0].id)
-	f.awaitVersion(1, cut) // from its neighbours
+	f.awaitVersion(1, cut) // from the other hosts of its failure domain
 	f.isolate("c", false)
 	f.awaitVersion(v, cut)
 }
@@ -253,7 +253,7 @@
 func TestFullRestartOfEntryHosts(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, controlOnly(67))
-	v := f.apply(1, "one", f.noted("one"))
+	v := f.apply(1, "one", f.recordWithNote("one"))
 	f.awaitVersion(v, f.hosts)
 	for _, h := range f.hosts {
 		f.kill(h.id)
@@ -265,15 +265,15 @@
 	f.awaitVersion(v, f.hosts)
 }
 
-// TestAllControlDisksLost loses every data folder, takes the record from the
-// entry hosts and forms the group anew. The old generation's records cannot be
-// mistaken for the new one's, though their version numbers are higher.
+// TestAllControlDisksLost deletes every data folder, reads the record from an entry host and forms
+// a new generation of the group. Entry hosts must replace the old generation's records, although
+// their version numbers are higher.
 func TestAllControlDisksLost(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, controlOnly(68))
 	v := uint64(1)
 	for _, note := range []string{"one", "two", "three"} {
-		v = f.apply(v, note, f.noted(note))
+		v = f.apply(v, note, f.recordWithNote(note))
 	}
 	f.awaitVersion(v, f.hosts)
 	for _, c := range f.controls {
@@ -282,13 +282,13 @@
 			t.Fatal(err)
 		}
 	}
-	var held struct {
+	var current struct {
 		Version uint64         `json:"version"`
 		Record  map[string]any `json:"record"`
 	}
 	entry := ctl.NewClient("http://"+f.hosts[0].ip+":9090", opKey)
-	if err := entry.Do(context.Background(), http.MethodGet, "/v1/config", nil, &held); err != nil || held.Version != v {
-		t.Fatalf("version %d held, %v", held.Version, err)
+	if err := entry.Do(context.Background(), http.MethodGet, "/v1/config", nil, &current); err != nil || current.Version != v {
+		t.Fatalf("the entry host holds version %d, error %v", current.Version, err)
 	}
 	for _, c := range f.controls {
 		name := f.path("c-" + c.id + ".toml")
@@ -300,7 +300,7 @@
 		f.run(f.control(c), "-format")
 		f.restart("c-" + c.id)
 	}
-	if got := f.apply(0, "again", held.Record); got != 1 {
+	if got := f.apply(0, "again", current.Record); got != 1 {
 		t.Fatalf("version %d in the new generation, want 1", got)
 	}
 	for _, h := range f.hosts {
@@ -314,7 +314,8 @@
 	}
 }
 
-// TestFrozenMajorityRefusesAndRecovers freezes two of three control hosts.
+// TestFrozenMajorityRefusesAndRecovers freezes two of three control hosts: no change may be
+// accepted until they resume.
 func TestFrozenMajorityRefusesAndRecovers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, controlOnly(69))
@@ -327,7 +328,7 @@
 		}
 		f.signal(name, syscall.SIGSTOP)
 	}
-	if _, err := f.tryApply(1, "alone", f.noted("alone")); err == nil {
+	if _, err := f.tryApply(1, "alone", f.recordWithNote("alone")); err == nil {
 		t.Error("a change was accepted without a majority")
 	}
 	for _, c := range f.controls {
@@ -335,8 +336,8 @@
 			f.signal(name, syscall.SIGCONT)
 		}
 	}
-	// The resend gets one answer, whether or not the first send had its effect.
-	if v := f.apply(1, "alone", f.noted("alone")); v != 2 {
+	// The resend is answered with the same version, whether or not the first send took effect.
+	if v := f.apply(1, "alone", f.recordWithNote("alone")); v != 2 {
 		t.Errorf("version %d, want 2", v)
 	}
 }
--- a/test/process/crashing_request_test.go
+++ b/test/process/crashing_request_test.go
@@ -16,40 +16,40 @@
 	"github.com/sesamefork/sesamefork/internal/standin"
 )
 
-// Figures of a request that crashes the stand-ins that run it.
+// Parameters of a request that crashes the stand-ins that run it.
 const (
-	crashMark   = "crash-the-server"
-	repeatEvery = 150 * time.Millisecond
-	awayFor     = time.Second // of a stand-in that crashed
-	// crashesNeeded, repeatsAllowed and knownAfter are the promise: after so many ends, and
-	// this long, no more repeats reach servers than allowed.
-	crashesNeeded  = 3
-	repeatsAllowed = 3
-	knownAfter     = 6 * time.Second
-	repeatsFor     = 10 * time.Second
+	crashMark    = "crash-the-server"
+	repeatEvery  = 150 * time.Millisecond
+	restartDelay = time.Second // time until a crashed stand-in is restarted
+	// Bounds of the guarantee: once crashesNeeded servers have crashed and propagationTime has
+	// passed, at most repeatsAllowed repeats reach servers.
+	crashesNeeded   = 3
+	repeatsAllowed  = 3
+	propagationTime = 6 * time.Second
+	repeatsFor      = 10 * time.Second
 )
 
-// keeper starts stand-ins again that crashed, and notes when they did.
-type keeper struct {
-	mu   sync.Mutex
-	ends []time.Time
-	wg   sync.WaitGroup
+// supervisor restarts crashed stand-ins, and records the times of their crashes.
+type supervisor struct {
+	mu         sync.Mutex
+	crashTimes []time.Time
+	wg         sync.WaitGroup
 }
 
-func (k *keeper) keep(ctx context.Context, f *fleet, name string) {
+func (k *supervisor) supervise(ctx context.Context, f *fleet, name string) {
 	k.wg.Add(1)
 	go func() {
 		defer k.wg.Done()
 		for ctx.Err() == nil {
 			st, err := f.proc(name).Process.Wait()
 			if err != nil || st.ExitCode() != standin.ExitCrashed {
-				return // the test ends it
+				return // the process was ended by the test
 			}
 			k.mu.Lock()
-			k.ends = append(k.ends, time.Now())
+			k.crashTimes = append(k.crashTimes, time.Now())
 			k.mu.Unlock()
 			select {
-			case <-time.After(awayFor):
+			case <-time.After(restartDelay):
 				f.restart(name)
 			case <-ctx.Done():
 			}
@@ -57,15 +57,16 @@
 	}()
 }
 
-func (k *keeper) crashes() []time.Time {
+func (k *supervisor) crashes() []time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return append([]time.Time(nil), k.ends...)
+	return append([]time.Time(nil), k.crashTimes...)
 }
 
-// TestCrashingRequestIsQuarantined repeats one request at random entry hosts that ends each
-// stand-in that begins to run it, by both kinds of servers and with and without a stream. Any
-// host that had not seen it took it for a new one, and sent it to the next server.
+// TestCrashingRequestIsQuarantined repeats one request, which crashes each stand-in that begins to
+// run it, at random entry hosts: for both kinds of servers, and with and without a stream. It
+// guards against an entry host that has not seen the request before and forwards it to the next
+// server like a new one.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for i, c := range []struct{ name, path, body string }{
 		{"chat", "/v1/chat/completions", `{"model":"chat","max_tokens":20,"messages":[{"role":"user","content":"` + crashMark + `"}]}`},
@@ -78,44 +79,44 @@
 			s.crashOn = crashMark
 			f := newFleet(t, s)
 			ctx, cancel := context.WithCancel(context.Background())
-			k := &keeper{}
+			k := &supervisor{}
 			for _, d := range f.domains {
 				for n := range s.engines {
-					k.keep(ctx, f, fmt.Sprintf("%s-engine%d", d, n+1))
+					k.supervise(ctx, f, fmt.Sprintf("%s-engine%d", d, n+1))
 				}
-				k.keep(ctx, f, d+"-shop")
+				k.supervise(ctx, f, d+"-shop")
 			}
 			answers := f.repeat(ctx, c.path, c.body, k)
 			defer cancel()
 			ends := k.crashes()
 			if len(ends) < crashesNeeded {
-				t.Fatalf("%d stand-ins crashed: the test shows nothing; answers %v", len(ends), answers)
+				t.Fatalf("%d stand-ins crashed: too few for the test to be conclusive; answers %v", len(ends), answers)
 			}
 			late := 0
 			for _, at := range ends {
-				if at.After(ends[crashesNeeded-1].Add(knownAfter)) {
+				if at.After(ends[crashesNeeded-1].Add(propagationTime)) {
 					late++
 				}
 			}
-			t.Logf("%d stand-ins crashed, %d of them %s after the third; answers %v", len(ends), late, knownAfter, answers)
+			t.Logf("%d stand-ins crashed, %d of them %s after the third; answers %v", len(ends), late, propagationTime, answers)
 			if late > repeatsAllowed {
-				t.Errorf("%d stand-ins crashed %s after the third had", late, knownAfter)
+				t.Errorf("%d stand-ins crashed more than %s after the third crash", late, propagationTime)
 			}
 			if answers["quarantined-request"] == 0 {
-				t.Error("no answer says that the request is quarantined")
+				t.Error("no request was refused as quarantined")
 			}
 			f.checkRestartAndLift(c.path, c.body, k)
 		})
 	}
 }
 
-// repeat sends the request again and again until some time after the third crash, and returns
-// how often it was answered with each problem.
-func (f *fleet) repeat(ctx context.Context, path, body string, k *keeper) map[string]int {
+// repeat sends the request repeatedly, until repeatsFor after the third crash, and returns the
+// number of answers by problem type.
+func (f *fleet) repeat(ctx context.Context, path, body string, k *supervisor) map[string]int {
 	var mu sync.Mutex
 	answers := map[string]int{}
 	var wg sync.WaitGroup
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		if ends := k.crashes(); len(ends) >= crashesNeeded && time.Since(ends[crashesNeeded-1]) > repeatsFor {
 			break
@@ -135,7 +136,7 @@
 	return answers
 }
 
-// ask makes one request and returns the problem that it was answered with.
+// ask sends one request and returns the problem type of its answer, or the status if it has none.
 func (f *fleet) ask(ctx context.Context, url, body string) string {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -158,15 +159,15 @@
 	return rest[:strings.IndexAny(rest, `"`)]
 }
 
-// checkRestartAndLift checks that an entry host that starts again refuses the request too, and
-// that it is let through once an operator has lifted its quarantine.
-func (f *fleet) checkRestartAndLift(path, body string, k *keeper) {
+// checkRestartAndLift checks that a restarted entry host refuses the request too, and that it
+// forwards the request once an operator has lifted the quarantine.
+func (f *fleet) checkRestartAndLift(path, body string, k *supervisor) {
 	f.t.Helper()
 	h := f.hosts[0]
 	f.kill(h.id)
 	f.restart(h.id)
 	f.awaitHost(h)
-	f.await("the restarted host refuses", func() bool {
+	f.await("the restarted host refuses the request", func() bool {
 		return f.ask(context.Background(), h.url()+path, body) == "quarantined-request"
 	})
 	var list []operatorhttp.Suspect
@@ -180,7 +181,7 @@
 		f.t.Fatal(err)
 	}
 	before := len(k.crashes())
-	f.await("the request is let through", func() bool {
+	f.await("the request reaches a server after its quarantine was lifted", func() bool {
 		f.ask(context.Background(), h.url()+path, body)
 		return len(k.crashes()) > before
 	})
--- a/test/process/fleet_test.go
+++ b/test/process/fleet_test.go
@@ -1,5 +1,5 @@
-// Package process_test runs the real processes and brings faults about: kills,
-// freezes, cuts and lost data folders.
+// Package process_test runs the real processes and injects faults: kills, freezes, network
+// partitions and lost data folders.
 package process_test
 
 import (
@@ -25,15 +25,15 @@
 	"github.com/sesamefork/sesamefork/internal/load"
 )
 
-// bin is the folder of the binaries under test.
-var bin string
+// binDir is the folder of the binaries under test.
+var binDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "sesame-bin")
 	if err != nil {
 		panic(err)
 	}
-	bin = dir
+	binDir = dir
 	out, err := exec.Command("go", "build", "-o", dir, "../../cmd/...").CombinedOutput()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s\n", out)
@@ -57,19 +57,19 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// shape describes a fleet: regions with failure domains of three entry hosts.
+// shape describes a fleet. By default, each failure domain has three entry hosts.
 type shape struct {
-	net     int        // second octet of the addresses: a fleet of its own
-	regions [][]string // failure domains of each region
-	engines int        // engines in each failure domain
+	net     int        // second octet of the addresses, different for each fleet
+	regions [][]string // names of the failure domains of each region
+	engines int        // engines per failure domain
 	record  map[string]any
 
-	hostsIn     func(domain int) int // entry hosts of a failure domain; nil for 3 each
-	enginesIn   func(domain int) int // engines of a failure domain; nil for engines each
-	slowControl bool                 // the default intervals, and no relays
+	hostsIn          func(domain int) int // number of entry hosts of a failure domain; nil for 3 in each
+	enginesIn        func(domain int) int // number of engines of a failure domain; nil for engines in each
+	defaultIntervals bool                 // use the default intervals, and no relays
 
-	snapshotEvery int    // 50 when 0
-	crashOn       string // text in a request's body that ends the stand-in that runs it
+	snapshotEvery int    // log entries between snapshots; 0 for 50
+	crashOn       string // text in a request's body that crashes the stand-in that runs the request
 }
 
 func (s shape) hostCount(domain int) int {
@@ -86,29 +86,30 @@
 	return s.engines
 }
 
-// peerPort and controlPort are the ports by which hosts know each other.
+// peerPort returns the port at which entry hosts connect to each other. It is the relay's if there
+// are relays.
 func (s shape) peerPort() string {
-	if s.slowControl {
+	if s.defaultIntervals {
 		return ":7000"
 	}
 	return ":7001"
 }
 
 func (s shape) controlPort() string {
-	if s.slowControl {
+	if s.defaultIntervals {
 		return ":7100"
 	}
 	return ":7101"
 }
 
-// host is one entry host of the fleet.
+// host is one entry host of the fleet, or the control host on the same machine.
 type host struct {
 	id, region, domain, ip string
 }
 
 func (h host) url() string { return "http://" + h.ip + ":8080" }
 
-// fleet is a running fleet.
+// fleet is a running fleet of processes, with the clients and relays of a test.
 type fleet struct {
 	t        testing.TB
 	s        shape
@@ -189,13 +190,13 @@
 	return host{}
 }
 
-// startRelays puts a relay before every host's peer address.
+// startRelays starts a relay in front of every host's peer address.
 func (f *fleet) startRelays() {
 	f.relays = newRelays()
 	for _, h := range f.hosts {
 		f.relays.domain[h.ip] = h.domain
 	}
-	if f.s.slowControl {
+	if f.s.defaultIntervals {
 		return
 	}
 	for _, h := range f.hosts {
@@ -275,15 +276,15 @@
 
 // tick returns a short consensus tick, or none for the default.
 func (f *fleet) tick() string {
-	if f.s.slowControl {
+	if f.s.defaultIntervals {
 		return ""
 	}
 	return "tick_ms = 30"
 }
 
-// intervals returns settings that make faults show quickly.
+// intervals returns settings with short intervals, so that faults are detected quickly.
 func (f *fleet) intervals() string {
-	if f.s.slowControl {
+	if f.s.defaultIntervals {
 		return ""
 	}
 	return `[timing]
@@ -336,7 +337,7 @@
 	return out
 }
 
-// apply proposes a record and returns the error.
+// tryApply proposes a record once and returns the error.
 func (f *fleet) tryApply(base uint64, id string, record map[string]any) (uint64, error) {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -369,7 +370,7 @@
 			}
 		}
 		interval := "300ms"
-		if f.s.slowControl {
+		if f.s.defaultIntervals {
 			interval = "1s"
 		}
 		common := []string{"-entries", strings.Join(entries, ","), "-key", backendKey, "-interval", interval, "-lag", "300ms", "-crash-on", f.s.crashOn}
@@ -388,11 +389,11 @@
 	}
 }
 
-// run runs a process to its end.
+// run runs a program and waits until it has exited.
 func (f *fleet) run(name string, args ...string) {
 	f.t.Helper()
 	parts := strings.Fields(name)
-	out, err := exec.Command(filepath.Join(bin, parts[0]), append(parts[1:], args...)...).CombinedOutput()
+	out, err := exec.Command(filepath.Join(binDir, parts[0]), append(parts[1:], args...)...).CombinedOutput()
 	if err != nil {
 		f.t.Fatalf("%s: %v\n%s", name, err, out)
 	}
@@ -402,10 +403,10 @@
 	return "sesame-control -settings " + f.path("c-"+c.id+".toml")
 }
 
-// start starts a process under a name.
+// start starts a process and registers it under a name.
 func (f *fleet) start(name, binary string, args ...string) {
 	f.t.Helper()
-	cmd := exec.Command(filepath.Join(bin, binary), args...)
+	cmd := exec.Command(filepath.Join(binDir, binary), args...)
 	logFile, err := os.OpenFile(f.path(name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		f.t.Fatal(err)
@@ -434,14 +435,14 @@
 	}
 }
 
-// kill ends a process at once.
+// kill sends SIGKILL to a process and waits for its end.
 func (f *fleet) kill(name string) {
 	f.t.Helper()
 	f.signal(name, syscall.SIGKILL)
 	_, _ = f.proc(name).Process.Wait()
 }
 
-// terminate ends a process gracefully and returns its exit code.
+// terminate sends SIGTERM to a process and returns its exit code.
 func (f *fleet) terminate(name string) int {
 	f.t.Helper()
 	f.signal(name, syscall.SIGTERM)
@@ -452,7 +453,7 @@
 	return st.ExitCode()
 }
 
-// restart starts a process that was ended again.
+// restart starts an ended process again, with the same arguments.
 func (f *fleet) restart(name string) {
 	f.mu.Lock()
 	args := f.args[name]
@@ -487,22 +488,22 @@
 	}
 }
 
-// patience bounds every wait for a condition.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait for a condition.
+const waitTimeout = 60 * time.Second
 
 // await waits until the condition holds.
 func (f *fleet) await(what string, ok func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("not reached: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// vars reads an entry host's metrics.
+// vars returns an entry host's metrics, or nil if it does not answer.
 func (f *fleet) vars(h host) map[string]any {
 	resp, err := http.Get("http://" + h.ip + ":9090/debug/vars")
 	if err != nil {
@@ -516,8 +517,8 @@
 	return out.Sesame
 }
 
-// awaitServing waits until each entry host is ready, its ledger votes, and it
-// knows all backend servers of its failure domain and all other failure domains.
+// awaitServing waits until each entry host is ready, all of its ledger partitions are active, and
+// it has recorded all backend servers of its failure domain.
 func (f *fleet) awaitServing() {
 	f.t.Helper()
 	for _, h := range f.hosts {
@@ -554,7 +555,7 @@
 	}
 }
 
-// loadOptions returns a load of chats and orders from every region.
+// loadOptions returns the options of a load of chats and orders from every region.
 func (f *fleet) loadOptions(count int, rate float64) load.Options {
 	var regions []string
 	for i := range f.s.regions {
@@ -581,15 +582,15 @@
 	return o
 }
 
-// checkReport fails the test when a promise was broken.
+// checkReport fails the test if a guarantee was violated or nothing was answered.
 func (f *fleet) checkReport(r *load.Report) {
 	f.t.Helper()
 	data, _ := json.Marshal(r)
 	f.t.Logf("%s", data)
 	if n := r.Violations(); n > 0 {
-		f.t.Errorf("%d broken promises: %v", n, r.Broken)
+		f.t.Errorf("%d violated guarantees: %v", n, r.Broken)
 	}
 	if r.Answered == 0 {
-		f.t.Error("nothing was answered; the run proves nothing")
+		f.t.Error("no request was answered; the run is inconclusive")
 	}
 }
--- a/test/process/relay_test.go
+++ b/test/process/relay_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// relays stands between the hosts' links: every host is known to the others by
-// the address of a relay, which sees by the source address who calls. A cut is
-// silent: bytes are held back, connections stay open.
+// relays are TCP proxies on the links between hosts: every host is configured with the relay
+// addresses of the others. A relay determines the calling failure domain from the connection's
+// source address. A cut stalls connections: bytes are held back, and connections stay open.
 type relays struct {
 	mu     sync.Mutex
 	cond   *sync.Cond
@@ -24,7 +24,7 @@
 	return r
 }
 
-// add relays from one address to another.
+// add relays connections from one address to another.
 func (r *relays) add(t testing.TB, from, to string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", from)
@@ -81,7 +81,7 @@
 	<-done
 }
 
-// pass waits while the link is cut; false when the relays are closed.
+// pass waits while the link is cut. It returns false once the relays are closed.
 func (r *relays) pass(link [2]string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,8 +91,8 @@
 	return !r.closed
 }
 
-// set cuts or heals both directions between two failure domains.
-func (r *relays) set(a, b string, cut bool) {
+// setCut cuts or restores both directions between two failure domains.
+func (r *relays) setCut(a, b string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut[[2]string{a, b}], r.cut[[2]string{b, a}] = cut, cut
@@ -109,11 +109,11 @@
 	}
 }
 
-// isolate cuts a failure domain off from all others, or heals it.
+// isolate cuts the links between a failure domain and all others, or restores them.
 func (f *fleet) isolate(domain string, cut bool) {
 	for _, d := range f.domains {
 		if d != domain {
-			f.relays.set(domain, d, cut)
+			f.relays.setCut(domain, d, cut)
 		}
 	}
 }
--- a/test/process/request_test.go
+++ b/test/process/request_test.go
@@ -13,17 +13,17 @@
 	"github.com/sesamefork/sesamefork/internal/load"
 )
 
-// oneRegion is a region of three failure domains, like the archive.
+// oneRegion returns the shape of one region with three failure domains, like the archive's.
 func oneRegion(net int) shape {
 	return shape{net: net, regions: [][]string{{"a", "b", "c"}}, engines: 2}
 }
 
-// threeRegions are three regions of one failure domain, like Railhalt.
+// threeRegions returns the shape of three regions with one failure domain each, like Railhalt's.
 func threeRegions(net int) shape {
 	return shape{net: net, regions: [][]string{{"a"}, {"b"}, {"c"}}, engines: 2}
 }
 
-// underLoad runs the script while a load runs, and checks the load's report.
+// underLoad runs the script during a load, and checks the load's report.
 func underLoad(f *fleet, o load.Options, script func()) *load.Report {
 	f.t.Helper()
 	var wg sync.WaitGroup
@@ -39,15 +39,15 @@
 	return rep
 }
 
-// loadFor is about how long the load of a fault script runs.
+// Size of the load during a fault script. It lasts about 10 s.
 const (
 	loadCount = 800
-	loadRate  = 80
+	loadRate  = 80 // requests per second
 )
 
-// beat is the pause between the steps of a fault script. No verdict depends on
-// it: the promises hold whatever the steps meet.
-const beat = 1500 * time.Millisecond
+// stepPause is the pause between the steps of a fault script. No result depends on it: the
+// guarantees hold in whatever state a step finds the fleet.
+const stepPause = 1500 * time.Millisecond
 
 func TestRequestsUnderFaults(t *testing.T) {
 	for i, c := range []struct {
@@ -59,29 +59,29 @@
 		{"entry hosts killed", oneRegion, func(f *fleet) {
 			for _, id := range []string{"a1", "b2"} {
 				f.kill(id)
-				time.Sleep(beat)
+				time.Sleep(stepPause)
 				f.restart(id)
-				time.Sleep(beat)
+				time.Sleep(stepPause)
 			}
 		}},
 		{"entry host frozen", oneRegion, func(f *fleet) {
 			f.signal("a2", syscall.SIGSTOP)
-			time.Sleep(3 * beat)
+			time.Sleep(3 * stepPause)
 			f.signal("a2", syscall.SIGCONT)
 		}},
 		{"region cut off", threeRegions, func(f *fleet) {
-			time.Sleep(beat)
+			time.Sleep(stepPause)
 			f.isolate("a", true)
-			time.Sleep(2 * beat)
+			time.Sleep(2 * stepPause)
 			f.isolate("a", false)
 		}},
 		{"failure domain cut off", oneRegion, func(f *fleet) {
-			time.Sleep(beat)
+			time.Sleep(stepPause)
 			f.isolate("b", true)
-			time.Sleep(2 * beat)
+			time.Sleep(2 * stepPause)
 			f.isolate("b", false)
 		}},
-		{"engines break off, stall and refuse", threeRegions, func(f *fleet) {
+		{"engines abort, stall and refuse", threeRegions, func(f *fleet) {
 			for _, d := range f.domains {
 				for k := range f.s.engines {
 					f.setFaults(d, k, "die=0.1,refuse=0.1,stall=0.02,late=0.01")
@@ -96,15 +96,15 @@
 		{"backend server killed and entry host killed", threeRegions, func(f *fleet) {
 			f.kill("a-engine1")
 			f.kill("a1")
-			time.Sleep(2 * beat)
+			time.Sleep(2 * stepPause)
 			f.restart("a1")
 			f.restart("a-engine1")
 		}},
 		{"entry host killed while a region is cut off", threeRegions, func(f *fleet) {
 			f.isolate("c", true)
-			time.Sleep(beat)
+			time.Sleep(stepPause)
 			f.kill("c1")
-			time.Sleep(beat)
+			time.Sleep(stepPause)
 			f.isolate("c", false)
 			f.restart("c1")
 		}},
@@ -112,7 +112,7 @@
 			for _, d := range f.domains {
 				f.kill(d + "-engine1")
 			}
-			time.Sleep(2 * beat)
+			time.Sleep(2 * stepPause)
 			for _, d := range f.domains {
 				f.restart(d + "-engine1")
 			}
@@ -120,7 +120,7 @@
 		{"two of three ledger replicas killed", threeRegions, func(f *fleet) {
 			f.kill("a1")
 			f.kill("a2")
-			time.Sleep(beat)
+			time.Sleep(stepPause)
 			f.restart("a1")
 			f.restart("a2")
 		}},
@@ -151,13 +151,13 @@
 	}
 }
 
-// TestGracefulShutdown ends an entry host and a backend server under load: the
-// host finishes what is in flight and exits with 0, and nothing is cut.
+// TestGracefulShutdown sends SIGTERM to an entry host and a backend server under load. Both must
+// finish the requests in flight and exit with 0, and no request may be cut.
 func TestGracefulShutdown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, oneRegion(48))
 	rep := underLoad(f, f.loadOptions(loadCount, loadRate), func() {
-		time.Sleep(beat)
+		time.Sleep(stepPause)
 		if code := f.terminate("a1"); code != 0 {
 			t.Errorf("exit code %d, want 0", code)
 		}
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestIsolatedFailureDomainServes cuts one failure domain off from the other two
-// of its region: it answers chats, and refuses orders at once as not run, with
-// when to come back, since no majority of a key's replicas is in reach.
+// TestIsolatedFailureDomainServes partitions one failure domain from the other two of its region.
+// It must answer chats, and refuse orders immediately as not run with a Retry-After, since no
+// majority of a key's replicas is reachable.
 func TestIsolatedFailureDomainServes(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, oneRegion(47))
@@ -196,7 +196,7 @@
 	f.checkReport(load.Run(context.Background(), o))
 }
 
-// onlyHostsOf keeps a load's teams at the entry hosts of one failure domain.
+// onlyHostsOf limits the entry hosts of a load's teams to those of one failure domain.
 func (f *fleet) onlyHostsOf(o *load.Options, domain string) {
 	for i := range o.Teams {
 		o.Teams[i].Entries = nil
@@ -208,18 +208,18 @@
 	}
 }
 
-// TestIsolatedRegionServes cuts a region off from all others and from the
-// control majority: it goes on answering its own callers, orders included.
+// TestIsolatedRegionServes partitions a region from all others and from the majority of the
+// control group. It must still answer its own callers, including their orders.
 func TestIsolatedRegionServes(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, threeRegions(49))
 	f.isolate("a", true)
 	o := f.loadOptions(200, 50)
-	o.Teams = o.Teams[:1] // calls from region1, whose home it is
+	o.Teams = o.Teams[:1] // callers in region1, which is the team's home region
 	rep := load.Run(context.Background(), o)
 	f.checkReport(rep)
 	if rep.Answered != rep.Requests || rep.Away > 0 {
-		t.Errorf("%d of %d answered, %d elsewhere", rep.Answered, rep.Requests, rep.Away)
+		t.Errorf("%d of %d answered, %d in another region", rep.Answered, rep.Requests, rep.Away)
 	}
 	f.isolate("a", false)
 	version := f.apply(1, "after the cut", f.record())
