--- a/cmd/sesame-entry/platform.go
+++ b/cmd/sesame-entry/platform.go
@@ -152,5 +152,5 @@
 		return
 	}
 	g.SetSeeds(next.Fleet.PeerSeeds())
-	log.Info("settings reloaded", "seeds", next.Fleet.Seeds)
+	log.Info("settings read again", "seeds", next.Fleet.Seeds)
 }
--- a/cmd/sesame-load/main.go
+++ b/cmd/sesame-load/main.go
@@ -31,7 +31,7 @@
 	flag.IntVar(&o.MaxTokens, "max-tokens", 40, "tokens of each answer")
 	flag.DurationVar(&o.Deadline, "deadline", 20*time.Second, "deadline of each request")
 	flag.IntVar(&o.Tries, "tries", 8, "maximum number of sends per request, including the first")
-	flag.Int64Var(&o.Seed, "seed", 1, "seed of the random load")
+	flag.Int64Var(&o.Seed, "seed", 1, "seed")
 	flag.StringVar(&jsonPath, "json", "", "write the report to this `file` as well")
 	flag.StringVar(&htmlPath, "html", "", "write the report as a page with plots to this `file`")
 	flag.Parse()
--- a/test/process/control_test.go
+++ b/test/process/control_test.go
@@ -175,7 +175,7 @@
 	f.restart("c-" + lost.id)
 	lostStore := "c-" + lost.id + ".0"
 	f.await("the lost replica is reported", func() bool { return f.status().SurvivableLosses == 0 })
-	f.await("the lost replica is replaced", func() bool {
+	f.await("replaced", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		defer cancel()
 		var out map[string]string
@@ -282,13 +282,13 @@
 			t.Fatal(err)
 		}
 	}
-	var current struct {
+	var hostConfig struct {
 		Version uint64         `json:"version"`
 		Record  map[string]any `json:"record"`
 	}
 	entry := ctl.NewClient("http://"+f.hosts[0].ip+":9090", opKey)
-	if err := entry.Do(context.Background(), http.MethodGet, "/v1/config", nil, &current); err != nil || current.Version != v {
-		t.Fatalf("the entry host holds version %d, error %v", current.Version, err)
+	if err := entry.Do(context.Background(), http.MethodGet, "/v1/config", nil, &hostConfig); err != nil || hostConfig.Version != v {
+		t.Fatalf("the entry host holds version %d, error %v", hostConfig.Version, err)
 	}
 	for _, c := range f.controls {
 		name := f.path("c-" + c.id + ".toml")
@@ -300,7 +300,7 @@
 		f.run(f.control(c), "-format")
 		f.restart("c-" + c.id)
 	}
-	if got := f.apply(0, "again", current.Record); got != 1 {
+	if got := f.apply(0, "again", hostConfig.Record); got != 1 {
 		t.Fatalf("version %d in the new generation, want 1", got)
 	}
 	for _, h := range f.hosts {
--- a/test/process/fleet_test.go
+++ b/test/process/fleet_test.go
@@ -497,7 +497,7 @@
 	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("timed out waiting for: %s", what)
+			f.t.Fatalf("not reached: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/test/process/request_test.go
+++ b/test/process/request_test.go
@@ -81,7 +81,7 @@
 			time.Sleep(2 * stepPause)
 			f.isolate("b", false)
 		}},
-		{"engines abort, stall and refuse", threeRegions, func(f *fleet) {
+		{"engines break off, stall and refuse", threeRegions, func(f *fleet) {
 			for _, d := range f.domains {
 				for k := range f.s.engines {
 					f.setFaults(d, k, "die=0.1,refuse=0.1,stall=0.02,late=0.01")
