--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -82,13 +82,13 @@
 		a.Entries[0], a.Entries[accepted] = a.Entries[accepted], a.Entries[0]
 		return
 	}
-	known := map[string]bool{}
+	named := map[string]bool{}
 	order := append([]string(nil), to...)
 	for _, e := range order {
-		known[e] = true
+		named[e] = true
 	}
 	for _, e := range a.Entries {
-		if !known[e] {
+		if !named[e] {
 			order = append(order, e)
 		}
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -160,9 +160,9 @@
 		return
 	}
 	e.mu.Lock()
-	known := e.loaded[p.Model]
+	loaded := e.loaded[p.Model]
 	e.mu.Unlock()
-	if !known || e.o.Faults.draw(FaultRefuse) {
+	if !loaded || e.o.Faults.draw(FaultRefuse) {
 		w.Header().Set(enginehttp.HeaderOutcome, "not_run")
 		http.Error(w, `{"error":"not started"}`, http.StatusServiceUnavailable)
 		return
--- a/test/process/crashing_request_test.go
+++ b/test/process/crashing_request_test.go
@@ -88,17 +88,17 @@
 			}
 			answers := f.repeat(ctx, c.path, c.body, k)
 			defer cancel()
-			ends := k.crashes()
-			if len(ends) < crashesNeeded {
-				t.Fatalf("%d stand-ins crashed: too few for the test to be conclusive; answers %v", len(ends), answers)
+			crashes := k.crashes()
+			if len(crashes) < crashesNeeded {
+				t.Fatalf("%d stand-ins crashed: too few for the test to be conclusive; answers %v", len(crashes), answers)
 			}
 			late := 0
-			for _, at := range ends {
-				if at.After(ends[crashesNeeded-1].Add(propagationTime)) {
+			for _, at := range crashes {
+				if at.After(crashes[crashesNeeded-1].Add(propagationTime)) {
 					late++
 				}
 			}
-			t.Logf("%d stand-ins crashed, %d of them %s after the third; answers %v", len(ends), late, propagationTime, answers)
+			t.Logf("%d stand-ins crashed, %d of them %s after the third; answers %v", len(crashes), late, propagationTime, answers)
 			if late > repeatsAllowed {
 				t.Errorf("%d stand-ins crashed more than %s after the third crash", late, propagationTime)
 			}
