--- a/cmd/sesame-entry/platform.go
+++ b/cmd/sesame-entry/platform.go
@@ -54,8 +54,8 @@
 		Host: s.Host.ID, Region: s.Host.Region, FailureDomain: s.Host.FailureDomain,
 		Peer: s.Fleet.PeerAddress(s.Listen.Peer), Caller: s.Listen.Caller, Seeds: s.Fleet.PeerSeeds(), Regions: s.Fleet.Regions,
 		Retries:       retry.SharedBudgetOptions{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: seconds(s.Retries.WindowS)},
-		AnnounceEvery: time.Duration(s.Fleet.HeartbeatMS) * time.Millisecond, VerifyKey: s.Link.PublicKey(), Peers: client, Drop: client.CloseSession, Backends: servers,
-		Crashes: crashes,
+		AnnounceEvery: time.Duration(s.Fleet.HeartbeatMS) * time.Millisecond, VerifyKey: s.Link.PublicKey(), Peers: client, CloseLink: client.CloseSession, Backends: servers,
+		CrashWatch: crashes,
 		Clock:   port.SystemClock{}, ReadPrompt: platform.ReadPrompt, Random: rand.Float64, Off: disabled, Tracer: tracer, Log: log, Metrics: m,
 	})
 	m.Gauge("version", func() any { return g.Version() })
--- a/internal/app/gateway/control_selection_test.go
+++ b/internal/app/gateway/control_selection_test.go
@@ -72,7 +72,7 @@
 func TestHostAsksFewOfManyControlHosts(t *testing.T) {
 	f := newStartingFixture(t)
 	control := newLargeGroup()
-	f.g.o.Peers, f.g.o.Drop = control, control.drop
+	f.g.o.Peers, f.g.o.CloseLink = control, control.drop
 	f.g.SetSeeds([]string{"w1a", "e1a", "n1a"})
 	f.install(7, baseRecord())
 	ctx, stop := context.WithCancel(context.Background())
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestCalmHostsLookSeldom checks that a host determines its sync targets more often while its
+// TestStableHostsQueryRarely checks that a host determines its sync targets more often while its
 // control host does not answer, early enough to query others in time.
-func TestCalmHostsLookSeldom(t *testing.T) {
+func TestStableHostsQueryRarely(t *testing.T) {
 	f := newFixture(t)
 	if got := f.g.nextCheckIn(); got != syncRetryDelay {
 		t.Errorf("no answer yet: next check in %s", got)
--- a/internal/app/gateway/controlhosts.go
+++ b/internal/app/gateway/controlhosts.go
@@ -188,7 +188,7 @@
 
 // dropIdleLinks closes the links to control hosts without a sync for idleLinkTimeout.
 func (g *Gateway) dropIdleLinks() {
-	if g.o.Drop == nil {
+	if g.o.CloseLink == nil {
 		return
 	}
 	now := g.o.Clock.Now()
@@ -202,7 +202,7 @@
 	}
 	g.control.mu.Unlock()
 	for _, addr := range idle {
-		g.o.Drop(addr)
+		g.o.CloseLink(addr)
 	}
 }
 
--- a/internal/app/gateway/crashes.go
+++ b/internal/app/gateway/crashes.go
@@ -28,7 +28,7 @@
 	switch {
 	case c.Server == nil:
 	case res.stage == retry.Answered, res.outcome == dispatch.Failed && res.fallback != nil:
-		g.o.Crashes.RecordAnswer(x.fingerprint)
+		g.o.CrashWatch.RecordAnswer(x.fingerprint)
 	case ctx.Err() != nil || res.outcome != dispatch.ConnectionFailed || res.stage == retry.BeforeSend:
 	default:
 		g.recordBreak(x, c.Server)
@@ -43,25 +43,25 @@
 	g.mu.Unlock()
 	switch {
 	case replaced:
-		g.o.Crashes.RecordCrash(b, e)
+		g.o.CrashWatch.RecordCrash(b, e)
 	case left:
 	case x.route.Idempotent():
 		// Wait for the check: the next server is chosen by its result.
-		g.o.Crashes.RecordBreak(b, e)
+		g.o.CrashWatch.RecordBreak(b, e)
 	default:
-		go g.o.Crashes.RecordBreak(b, e)
+		go g.o.CrashWatch.RecordBreak(b, e)
 	}
 }
 
 // updateCrashWatch passes the servers of a new view to the crash watch. g.mu must be held.
 func (g *Gateway) updateCrashWatch() {
-	g.o.Crashes.SetHosts(g.fleet.HostCount())
-	if g.o.Crashes.Idle() {
+	g.o.CrashWatch.SetHosts(g.fleet.HostCount())
+	if g.o.CrashWatch.Idle() {
 		return
 	}
 	sightings, releases := g.fleet.LastAnnouncements()
-	g.o.Crashes.ObserveAnnouncements(sightings)
+	g.o.CrashWatch.ObserveAnnouncements(sightings)
 	for service, list := range releases {
-		g.o.Crashes.SetReleases(service, list)
+		g.o.CrashWatch.SetReleases(service, list)
 	}
 }
--- a/internal/app/gateway/crashes_test.go
+++ b/internal/app/gateway/crashes_test.go
@@ -25,7 +25,7 @@
 // answer is the result of connecting to any of them.
 func newCrashFixture(t *testing.T, answer port.Listening) *fixture {
 	f := newFixture(t)
-	f.g.o.Crashes = crashwatch.New(crashwatch.Options{
+	f.g.o.CrashWatch = crashwatch.New(crashwatch.Options{
 		AnnounceEvery: time.Second, Probe: fakeProbe(answer), Clock: f.clock, Log: logr.Discard(), Metrics: noMetrics{},
 	})
 	f.view(sixDeskServers)
@@ -42,7 +42,7 @@
 
 // crashCount returns the number of servers recorded as crashed while running the request.
 func (f *fixture) crashCount(path string) int {
-	records, _ := f.g.o.Crashes.Since(0, 100, quarantine.AllRecords)
+	records, _ := f.g.o.CrashWatch.Since(0, 100, quarantine.AllRecords)
 	want := fingerprintOf(f.request(path), nil)
 	for _, r := range records {
 		if string(r.Fingerprint) == string(want[:]) {
@@ -52,9 +52,9 @@
 	return 0
 }
 
-// TestWhatCountsAsAnEnd checks for each outcome of an attempt whether the server is recorded as
+// TestWhatCountsAsCrash checks for each outcome of an attempt whether the server is recorded as
 // crashed while running the request.
-func TestWhatCountsAsAnEnd(t *testing.T) {
+func TestWhatCountsAsCrash(t *testing.T) {
 	reset := errors.New("connection reset")
 	for _, c := range []struct {
 		name   string
--- a/internal/app/gateway/execute.go
+++ b/internal/app/gateway/execute.go
@@ -156,7 +156,7 @@
 			return g.giveUp(ctx, x, fallback, f)
 		}
 		res := g.attempt(ctx, x, c)
-		g.o.Crashes.Finish(x.fingerprint, x.judgement)
+		g.o.CrashWatch.Finish(x.fingerprint, x.judgement)
 		if res.stage == retry.BeforeSend || res.stage == retry.Refused {
 			g.refundQuota(x)
 		}
@@ -190,13 +190,13 @@
 		return nil, f
 	}
 	var f *failure.Error
-	if x.judgement, f = g.o.Crashes.Admit(x.r.ID, x.fingerprint, x.mayHaveRun); f != nil {
+	if x.judgement, f = g.o.CrashWatch.Admit(x.r.ID, x.fingerprint, x.mayHaveRun); f != nil {
 		g.refundQuota(x)
 		return nil, f
 	}
 	c, f := g.choose(ctx, x)
 	if f != nil {
-		g.o.Crashes.Finish(x.fingerprint, x.judgement)
+		g.o.CrashWatch.Finish(x.fingerprint, x.judgement)
 		g.refundQuota(x)
 	}
 	return c, f
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -35,11 +35,11 @@
 	AnnounceEvery time.Duration
 	VerifyKey     []byte
 	Peers         port.Peers
-	Drop          func(addr string) // closes the link to an address; nil keeps links open
+	CloseLink          func(addr string) // closes the link to an address; nil keeps links open
 	Backends      Backends
-	// Crashes detects requests that crash servers; nil for a Watch without a probe, which does
+	// CrashWatch detects requests that crash servers; nil for a Watch without a probe, which does
 	// not check whether a server's process has ended.
-	Crashes *crashwatch.Watch
+	CrashWatch *crashwatch.Watch
 	Clock   port.Clock
 	// ReadPrompt reads the description of a forwarded request's prompt from its headers; nil if
 	// requests have none.
@@ -79,8 +79,8 @@
 
 // New returns a gateway without a configuration and without servers.
 func New(o Options) *Gateway {
-	if o.Crashes == nil {
-		o.Crashes = crashwatch.New(crashwatch.Options{AnnounceEvery: o.AnnounceEvery, Clock: o.Clock, Log: o.Log, Metrics: o.Metrics})
+	if o.CrashWatch == nil {
+		o.CrashWatch = crashwatch.New(crashwatch.Options{AnnounceEvery: o.AnnounceEvery, Clock: o.Clock, Log: o.Log, Metrics: o.Metrics})
 	}
 	if o.Tracer == nil {
 		o.Tracer = noop.NewTracerProvider().Tracer("")
--- a/internal/app/gateway/source_test.go
+++ b/internal/app/gateway/source_test.go
@@ -10,9 +10,9 @@
 	pb "github.com/sesamefork/sesamefork/internal/gen/peerpb"
 )
 
-// TestViewsAreTaken applies full and incremental views of one control host and checks the
+// TestViewsAreApplied applies full and incremental views of one control host and checks the
 // resulting state.
-func TestViewsAreTaken(t *testing.T) {
+func TestViewsAreApplied(t *testing.T) {
 	loads := func(requests ...uint32) *pb.ServerLoads {
 		l := &pb.ServerLoads{}
 		for i, n := range requests {
--- a/internal/app/gateway/sync.go
+++ b/internal/app/gateway/sync.go
@@ -106,7 +106,7 @@
 	if !c.sentAll {
 		wanted = quarantine.AllRecords
 	}
-	return g.o.Crashes.Since(c.sentRevision, maxCrashRecords, wanted)
+	return g.o.CrashWatch.Since(c.sentRevision, maxCrashRecords, wanted)
 }
 
 // recordSent records that a control host received the records up to revision next. If the view's
@@ -153,8 +153,8 @@
 func (g *Gateway) callControl(ctx context.Context, c *controlHost, req *pb.Request) (*pb.Response, *pb.FleetView, error) {
 	resp, err := g.o.Peers.Call(ctx, c.addr, req)
 	if err != nil {
-		if ctx.Err() != nil && g.o.Drop != nil {
-			g.o.Drop(c.addr) // the connection may be dead without an error
+		if ctx.Err() != nil && g.o.CloseLink != nil {
+			g.o.CloseLink(c.addr) // the connection may be dead without an error
 		}
 		return nil, nil, err
 	}
@@ -183,7 +183,7 @@
 	if !c.state.apply(view) {
 		return nil, failure.New(failure.PeerRefused, "", "the changes sent by the control host at %s do not follow the last view applied here", c.addr)
 	}
-	g.o.Crashes.Merge(view.Quarantine, c.addr)
+	g.o.CrashWatch.Merge(view.Quarantine, c.addr)
 	g.o.Metrics.Add("servers_lapsed", int64(len(view.RemovedServers)))
 	g.applyView(view, g.viewScope(c, view, primary, own))
 	if configstate.Newer(resp.Stamp, g.stamp()) && g.acceptsConfig(view) {
