--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -35,12 +35,12 @@
 	AnnounceEvery time.Duration
 	VerifyKey     []byte
 	Peers         port.Peers
-	CloseLink          func(addr string) // closes the link to an address; nil keeps links open
+	CloseLink     func(addr string) // closes the link to an address; nil keeps links open
 	Backends      Backends
 	// CrashWatch detects requests that crash servers; nil for a Watch without a probe, which does
 	// not check whether a server's process has ended.
 	CrashWatch *crashwatch.Watch
-	Clock   port.Clock
+	Clock      port.Clock
 	// ReadPrompt reads the description of a forwarded request's prompt from its headers; nil if
 	// requests have none.
 	ReadPrompt func(http.Header) *Prompt
