--- a/internal/app/access/access.go
+++ b/internal/app/access/access.go
@@ -44,8 +44,8 @@
 	return t, nil
 }
 
-// SortByDistance sorts the addresses of control hosts in place, nearest first. Addresses at the same
-// distance are ordered by their rendezvous weight for this host, so that hosts spread their
+// SortByDistance sorts the addresses of control hosts in place, nearest first. Addresses at the
+// same distance are ordered by their rendezvous weight for this host, so that hosts spread their
 // requests over them.
 func SortByDistance(host string, addrs []string, distance func(addr string) int) {
 	slices.SortFunc(addrs, func(a, b string) int {
@@ -56,30 +56,29 @@
 	})
 }
 
-// Options configures a Gate.
+// Options configures a Limiter.
 type Options struct {
 	Peers   port.Peers
 	Request func() *pb.Request // returns a message to another host with the sender's fields set
 	// Issuers returns the addresses of the control hosts that issue units, nearest first; see
-	// Nearest.
+	// SortByDistance.
 	Issuers func() []string
 	Clock   port.Clock
 	Log     logr.Logger
 	Metrics port.Metrics
 }
 
-// Intervals and time limits of the requests for units.
+// Intervals and time limits of asks, the messages that request units from control hosts.
 const (
 	// renewInterval is the interval at which held and expected units are reported.
 	renewInterval = 200 * time.Millisecond
-	// askTimeout bounds one exchange with a control host; it allows for a round trip to another
-	// region.
+	// askTimeout bounds one ask to a control host; it allows for a round trip to another region.
 	askTimeout = 400 * time.Millisecond
 	// hedgeDelay is the time without an answer after which one more control host is asked.
 	hedgeDelay = 40 * time.Millisecond
 	// maxWait bounds how long a request waits for units.
 	maxWait = 450 * time.Millisecond
-	// failedAskBackoff is how long a control host is skipped after an exchange with it failed.
+	// failedAskBackoff is how long a control host is skipped after an ask to it failed.
 	failedAskBackoff = time.Second
 	// maxRefusalWindow bounds how long a team's requests are refused without asking, after the
 	// control hosts had too few units for one of the same size or smaller.
@@ -138,7 +137,7 @@
 	sequence  uint64
 }
 
-// New returns a Gate that holds no units.
+// New returns a Limiter that holds no units.
 func New(o Options) *Limiter {
 	return &Limiter{
 		o: o, epoch: uint64(o.Clock.Now().UnixNano()), holder: quota.NewHolder(), quotaUsed: make(chan struct{}),
--- a/internal/app/entry/host.go
+++ b/internal/app/entry/host.go
@@ -50,8 +50,8 @@
 	MaxBody         int64
 	MaxExplained    int
 
-	// CrashWatch detects requests that crash servers. If nil, New creates one that asks no server
-	// whether its process has ended.
+	// CrashWatch detects requests that crash servers. If nil, New creates one without a probe,
+	// which does not check whether a server's process has ended.
 	CrashWatch *crashwatch.Watch
 	Peers      port.Peers
 	CloseLink  func(addr string) // closes the link to a dead host; may be nil
@@ -67,7 +67,7 @@
 const (
 	suspectFactor        = 4 // probe intervals from suspicion to death
 	slowStart            = 10 * time.Second
-	assumedLag           = 500 * time.Millisecond // of backend servers' load figures
+	assumedLag           = 500 * time.Millisecond // of backend servers' load reports
 	maxWaiting           = 20_000
 	housekeepingInterval = 250 * time.Millisecond
 	drainPollInterval    = 20 * time.Millisecond
@@ -82,7 +82,7 @@
 	previous     atomic.Pointer[configstate.Installed] // in force before config
 	draining     atomic.Bool
 	awaitingPeer atomic.Bool  // set after a freeze until another host answered; not ready meanwhile
-	peersQueried atomic.Bool  // all seeds and control hosts were asked for their configuration
+	peersQueried atomic.Bool  // all seeds and control hosts were queried for their configuration
 	probedAt     atomic.Int64 // Unix time in ns of the last probe, 0 before the first
 	incarnation  uint64
 	explained    *explanationStore
--- a/internal/app/gateway/crashes_test.go
+++ b/internal/app/gateway/crashes_test.go
@@ -25,7 +25,7 @@
 // answer is the result of connecting to any of them.
 func newCrashFixture(t *testing.T, answer port.Listening) *fixture {
 	f := newFixture(t)
-	f.g.o.Crashes = crashwatch.New(crashwatch.Options{
+	f.g.o.CrashWatch = crashwatch.New(crashwatch.Options{
 		AnnounceEvery: time.Second, Probe: fakeProbe(answer), Clock: f.clock, Log: logr.Discard(), Metrics: noMetrics{},
 	})
 	f.view(sixDeskServers)
@@ -42,7 +42,7 @@
 
 // crashCount returns the number of servers recorded as crashed while running the request.
 func (f *fixture) crashCount(path string) int {
-	records, _ := f.g.o.Crashes.Since(0, 100, quarantine.AllRecords)
+	records, _ := f.g.o.CrashWatch.Since(0, 100, quarantine.AllRecords)
 	want := fingerprintOf(f.request(path), nil)
 	for _, r := range records {
 		if string(r.Fingerprint) == string(want[:]) {
@@ -52,9 +52,9 @@
 	return 0
 }
 
-// TestWhatCountsAsAnEnd checks for each outcome of an attempt whether the server is recorded as
+// TestWhatCountsAsCrash checks for each outcome of an attempt whether the server is recorded as
 // crashed while running the request.
-func TestWhatCountsAsAnEnd(t *testing.T) {
+func TestWhatCountsAsCrash(t *testing.T) {
 	reset := errors.New("connection reset")
 	for _, c := range []struct {
 		name   string
@@ -180,10 +180,10 @@
 func TestVerdictsOfOtherHosts(t *testing.T) {
 	f := newCrashFixture(t, port.Refuses)
 	crashing := fingerprintOf(f.request("/stock/9"), nil)
-	var told [][]*pb.QuarantineRecord
+	var sentRecords [][]*pb.QuarantineRecord
 	epoch := uint64(1)
 	f.peers.response = func(req *pb.Request) *pb.Response {
-		told = append(told, req.GetFleetSync().Quarantine)
+		sentRecords = append(sentRecords, req.GetFleetSync().Quarantine)
 		v := &pb.FleetView{Epoch: epoch, Version: 1, HomeRegion: "west", HomeDomain: "w1", QuarantineNext: 5}
 		v.Quarantine = []*pb.QuarantineRecord{{Fingerprint: crashing[:], Server: []uint64{1, 2, 3}, AgeS: []uint32{9, 6, 3}, Service: "desk"}}
 		return &pb.Response{Body: &pb.Response_FleetView{FleetView: v}}
@@ -203,17 +203,17 @@
 	f.backends.answer = failedAlways
 	f.g.Execute(context.Background(), f.request("/stock/1"), &memorySink{})
 	sync()
-	if got := told[len(told)-1]; len(got) != 1 {
+	if got := sentRecords[len(sentRecords)-1]; len(got) != 1 {
 		t.Errorf("%d records sent, want the one recorded here", len(got))
 	}
 	sync()
-	if got := told[len(told)-1]; len(got) != 0 {
+	if got := sentRecords[len(sentRecords)-1]; len(got) != 0 {
 		t.Errorf("%d records sent again", len(got))
 	}
 	epoch = 2 // the control host has restarted
 	sync()
 	sync()
-	if got := told[len(told)-1]; len(got) != 2 {
+	if got := sentRecords[len(sentRecords)-1]; len(got) != 2 {
 		t.Errorf("%d records sent to a control host that has restarted, want all 2", len(got))
 	}
 }
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -35,12 +35,12 @@
 	AnnounceEvery time.Duration
 	VerifyKey     []byte
 	Peers         port.Peers
-	Drop          func(addr string) // closes the link to an address; nil keeps links open
+	CloseLink     func(addr string) // closes the link to an address; nil keeps links open
 	Backends      Backends
-	// Crashes detects requests that crash servers; nil for a Watch without a probe, which does
+	// CrashWatch detects requests that crash servers; nil for a Watch without a probe, which does
 	// not check whether a server's process has ended.
-	Crashes *crashwatch.Watch
-	Clock   port.Clock
+	CrashWatch *crashwatch.Watch
+	Clock      port.Clock
 	// ReadPrompt reads the description of a forwarded request's prompt from its headers; nil if
 	// requests have none.
 	ReadPrompt func(http.Header) *Prompt
@@ -64,7 +64,7 @@
 	fetchFailedAt atomic.Int64
 	draining      atomic.Bool
 	inflight      atomic.Int64
-	becameBusy    chan struct{} // receives a signal when the number of requests in progress rises from 0
+	becameBusy    chan struct{} // receives a signal when the number of requests in flight rises from 0
 
 	mu          sync.Mutex
 	fleet       *dispatch.Fleet
@@ -79,8 +79,8 @@
 
 // New returns a gateway without a configuration and without servers.
 func New(o Options) *Gateway {
-	if o.Crashes == nil {
-		o.Crashes = crashwatch.New(crashwatch.Options{AnnounceEvery: o.AnnounceEvery, Clock: o.Clock, Log: o.Log, Metrics: o.Metrics})
+	if o.CrashWatch == nil {
+		o.CrashWatch = crashwatch.New(crashwatch.Options{AnnounceEvery: o.AnnounceEvery, Clock: o.Clock, Log: o.Log, Metrics: o.Metrics})
 	}
 	if o.Tracer == nil {
 		o.Tracer = noop.NewTracerProvider().Tracer("")
@@ -206,7 +206,7 @@
 	return g.fleet.Speeds()
 }
 
-// Inflight returns the number of requests in progress.
+// Inflight returns the number of requests in flight.
 func (g *Gateway) Inflight() int64 { return g.inflight.Load() }
 
 // Version returns the configuration version in force; 0 for none.
